--- a/features/steps/cache_plan_steps.py
+++ b/features/steps/cache_plan_steps.py
@@ -6,12 +6,12 @@
 from modelled_clock import Clock
 
 from kumquatseam.placement import (
+    BroadcastWork,
     CachePlanner,
     CacheSource,
-    DirectWork,
     EngineComparison,
     HolderScope,
-    Option,
+    PlacementOption,
     PlacementRequest,
     Placer,
     store_for,
@@ -86,7 +86,7 @@
 @then("it has {held:d} tokens, fetches {fetched:d} and reads {read:d}")
 def step_planned(context, held, fetched, read):
     plan = context.plan
-    found = (plan.held_tokens, plan.fetched_tokens, plan.read_tokens)
+    found = (plan.held_tokens, plan.fetched_tokens, plan.prefill_tokens)
     assert found == (held, fetched, read), found
 
 
@@ -191,7 +191,7 @@
     placement = context.placer.place(request)
     upstream_id = placement.status.upstream.upstream_id
     context.index.note_read(upstream_id, placement.salt, prompt, placement.cache_target)
-    context.directory.begin(placement.status, placement.read_tokens)
+    context.directory.begin(placement.status, placement.prefill_tokens)
     return placement
 
 
@@ -286,7 +286,7 @@
     for name, zone in zones.items():
         upstream = Upstream(name, "engines", f"{name}:1", zone, 48, weights=weights)
         directory.put(upstream)
-        options.append(Option(directory.status(name), 1))
+        options.append(PlacementOption(directory.status(name), 1))
     request = PlacementRequest(
         "r",
         ServiceTraits("engines", engine=TRAITS),
@@ -297,7 +297,7 @@
         1,
         cache_stores=(CacheStore(STORE.address, "z0", 50_000),),
     )
-    work = DirectWork(directory, context.index)
+    work = BroadcastWork(directory, context.index)
     comparison = EngineComparison(request, work, directory)
     return comparison, comparison.best(options)
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -182,7 +182,7 @@
     placer = Placer(directory, index, "z", targets, clock=context.clock)
     try:
         context.placement = placer.place(
-            attrs.evolve(build_request(), longest_wait_s=left_s * 0.7)
+            attrs.evolve(build_request(), max_wait_s=left_s * 0.7)
         )
         context.refusal = None
     except OverloadedError as error:
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -19,7 +19,7 @@
     ResponseHead,
 )
 from kumquatseam.metrics import GatewayMetrics
-from kumquatseam.placement import DirectWork, Placement
+from kumquatseam.placement import BroadcastWork, Placement
 from kumquatseam.platform._headers import PlatformDialect
 from kumquatseam.prompts import PromptIndex
 from kumquatseam.rollouts import MovedRun
@@ -108,7 +108,7 @@
             return None
         return Placement(self.directory.status(place), "m0", 1, "1")
 
-    def destination(self, placement):
+    def move_destination(self, placement):
         return attrs.evolve(placement, status=self.directory.status("target"))
 
 
@@ -145,7 +145,7 @@
             PlatformDialect(),
             context.placer,
             directory,
-            DirectWork(directory, PromptIndex()),
+            BroadcastWork(directory, PromptIndex()),
             context.pool,
             lambda service: budget,
             GatewayMetrics(),
--- a/features/steps/own_fault_steps.py
+++ b/features/steps/own_fault_steps.py
@@ -15,7 +15,7 @@
 from kumquatseam.http1 import ConnectionPool, Headers, Request
 from kumquatseam.http1._connection import open_connection
 from kumquatseam.metrics import GatewayMetrics
-from kumquatseam.placement import DirectWork, Placement
+from kumquatseam.placement import BroadcastWork, Placement
 from kumquatseam.platform._headers import PlatformDialect
 from kumquatseam.prompts import PromptIndex
 from kumquatseam.routes import (
@@ -81,7 +81,7 @@
             PlatformDialect(),
             placer,
             context.directory,
-            DirectWork(context.directory, PromptIndex()),
+            BroadcastWork(context.directory, PromptIndex()),
             pool,
             lambda service: budget,
             GatewayMetrics(),
--- a/features/steps/quota_world.py
+++ b/features/steps/quota_world.py
@@ -235,7 +235,7 @@
 
 def tokens(rate_per_s, burst=None):
     burst = rate_per_s if burst is None else burst
-    return TeamQuota(rate_per_s, burst, is_in_tokens=True, plain_tokens=200)
+    return TeamQuota(rate_per_s, burst, is_token_based=True, default_tokens=200)
 
 
 def lone_quotas():
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -12,7 +12,7 @@
 from platform_steps import step_streams_in_rollout
 
 from kumquatseam.peers import LoadExchange, LoadSummary, RolloutNotice, UpstreamLoad
-from kumquatseam.placement import DirectWork
+from kumquatseam.placement import BroadcastWork
 from kumquatseam.prompts import PromptChain, PromptIndex, PromptPart, PromptRead
 from kumquatseam.rollouts import (
     EngineReport,
@@ -203,7 +203,7 @@
         client,
         side.bus,
         context.view,
-        DirectWork(side.directory, side.index, side.loads.on_upstream).running_on,
+        BroadcastWork(side.directory, side.index, side.loads.on_upstream).running_on,
         context.clock,
         bounds,
     )
--- a/features/steps/trackers_steps.py
+++ b/features/steps/trackers_steps.py
@@ -128,7 +128,7 @@
     for number in range(count):
         opening = f"o{number % openings}"
         placement = context.tracked.place(number, opening, ends=True)
-        if placement.read_tokens > 2890:
+        if placement.prefill_tokens > 2890:
             context.read_again += opening in held
         held.add(opening)
         context.tracked.run(0.3)
@@ -239,7 +239,7 @@
 def step_none_refused(context, count, wait_s):
     for number in range(count):
         try:
-            placement = context.tracked.place(number, ends=True, longest_wait_s=wait_s)
+            placement = context.tracked.place(number, ends=True, max_wait_s=wait_s)
         except OverloadedError as error:
             raise AssertionError(f"request {number} was refused: {error}") from error
         assert placement.status.upstream.incarnation_id == "e0"
--- a/features/steps/trackers_world.py
+++ b/features/steps/trackers_world.py
@@ -91,19 +91,17 @@
     def up(self):
         return [side for side in self.sides if side.is_up]
 
-    def place(self, number, opening=None, ends=False, longest_wait_s=float("inf")):
+    def place(self, number, opening=None, ends=False, max_wait_s=float("inf")):
         """Place a request at a random instance; return the placement."""
         side = self.draw.choice(self.up())
         request = build_request(opening or f"o{number}", f"x{number}")
         began_s = self.clock()
-        placement = side.placer.place(
-            attrs.evolve(request, longest_wait_s=longest_wait_s)
-        )
+        placement = side.placer.place(attrs.evolve(request, max_wait_s=max_wait_s))
         self.longest_ask_s = max(self.longest_ask_s, self.clock() - began_s)
         if placement is None:
             self.unplaced += 1
             return None
-        occupancy = side.work.begin(placement.new_work(LASTS_S))
+        occupancy = side.work.begin(placement.request_work(LASTS_S))
         self.run(0.004)
         self.placed.append((side, placement, occupancy))
         if ends:
--- a/features/steps/waiting_world.py
+++ b/features/steps/waiting_world.py
@@ -13,7 +13,7 @@
 from kumquatseam.gateway._handler import HandlerParts, RequestHandler
 from kumquatseam.http1 import ConnectionPool, Headers, Request
 from kumquatseam.metrics import GatewayMetrics
-from kumquatseam.placement import BeginBound, DirectWork, Placer
+from kumquatseam.placement import BroadcastWork, Placer, ReplacedWeightsGrace
 from kumquatseam.platform._headers import PlatformDialect
 from kumquatseam.prompts import PromptIndex
 from kumquatseam.routes import (
@@ -34,7 +34,7 @@
 )
 
 #: the bound in these tests, and what is kept back of it for late news.
-BOUND = BeginBound(begin_s=0.8, notice_s=0.2)
+BOUND = ReplacedWeightsGrace(begin_s=0.8, notice_s=0.2)
 EVENTS = 4
 TRAITS = ServiceTraits("engines", engine=EngineTraits(24, 100_000, ("m0",)))
 
@@ -127,7 +127,9 @@
         live.apply(RouteTable(1, (route,), (TRAITS,)), "test")
         index = PromptIndex()
         budget = RetryBudget(AdmissionSettings())
-        placer = Placer(self.directory, index, "z", self.targets, begin_bound=BOUND)
+        placer = Placer(
+            self.directory, index, "z", self.targets, replaced_weights_grace=BOUND
+        )
         # First events are expected after some 60 ms.
         for _ in range(40):
             placer.waits.note(10.0, 60.0)
@@ -137,7 +139,7 @@
                 PlatformDialect(),
                 placer,
                 self.directory,
-                DirectWork(self.directory, index),
+                BroadcastWork(self.directory, index),
                 ConnectionPool(0.3),
                 lambda service: budget,
                 GatewayMetrics(),
--- a/features/steps/weights_steps.py
+++ b/features/steps/weights_steps.py
@@ -69,12 +69,12 @@
 
 @then("the run may move")
 def step_may_move(context):
-    assert context.placer.destination(context.run) is not None
+    assert context.placer.move_destination(context.run) is not None
 
 
 @then("the run stays where it is")
 def step_stays_there(context):
-    assert context.placer.destination(context.run) is None
+    assert context.placer.move_destination(context.run) is None
 
 
 def _starting(context, entries, known=None):
--- a/features/steps/weights_waited_for_steps.py
+++ b/features/steps/weights_waited_for_steps.py
@@ -7,7 +7,7 @@
 from waiting_world import BOUND, EVENTS, WaitingEngine, WaitingWorld
 
 from kumquatseam.peers import UpstreamLoad
-from kumquatseam.placement import BeginBound, Placer
+from kumquatseam.placement import Placer, ReplacedWeightsGrace
 from kumquatseam.prompts import PromptIndex
 from kumquatseam.upstreams import (
     Upstream,
@@ -50,7 +50,7 @@
             name, 0, context.pending_tokens.get(name, 0)
         ),
         clock=clock,
-        begin_bound=BeginBound(bound_s, NOTICE_S),
+        replaced_weights_grace=ReplacedWeightsGrace(bound_s, NOTICE_S),
     )
     context.engine = _put_engine(context, "e0")
     context.targets.take(WeightsNamed("m0", 1))
--- a/src/kumquatseam/gateway/_begin_wait.py
+++ b/src/kumquatseam/gateway/_begin_wait.py
@@ -10,7 +10,7 @@
 class BeginWait(Wait):
     """A wait that ends when the request may no longer begin.
 
-    :param begin_left_s: returns how much longer at least it may begin where it
+    :param remaining_grace_s: returns how much longer at least it may begin where it
         waits; asked again then, since newer weights may be named meanwhile.
     """
 
@@ -20,10 +20,10 @@
         address: str,
         caller,
         on_caller: Callable[[], bool],
-        begin_left_s: Callable[[], float],
+        remaining_grace_s: Callable[[], float],
     ) -> None:
         super().__init__(until_s, address, caller, on_caller)
-        self._begin_left_s = begin_left_s
+        self._begin_left_s = remaining_grace_s
         self._has_begun = False
 
     def note_begun(self) -> None:
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -245,7 +245,7 @@
 
     def _after_refusal(self, placement: Placement) -> None:
         progress = self._progress
-        if placement.moved_run is not None and not self._job.route.may_repeat:
+        if placement.moved_run is not None and not self._job.route.is_retryable:
             # It ran before it moved, so it cannot begin again elsewhere.
             progress.may_have_run = True
             self._give_up(Reason.BROKEN, "refused after a move")
@@ -345,7 +345,7 @@
         self._log_failure(placement, detail)
         self._check_time()
         can_go_on = not self._caller.has_answered or job.route.is_resumable
-        if not job.route.may_repeat or not can_go_on:
+        if not job.route.is_retryable or not can_go_on:
             self._give_up(Reason.BROKEN, detail)
         if progress.attempts >= job.route.max_attempts:
             self._give_up(Reason.BROKEN, f"{detail}; no attempts left")
@@ -377,7 +377,9 @@
         self._placement = placement
         self._sent_request = None
         connection = self._parts.pool.take(address, self._job.remaining_s)
-        occupancy = self._parts.work.begin(placement.new_work(self._job.remaining_s))
+        occupancy = self._parts.work.begin(
+            placement.request_work(self._job.remaining_s)
+        )
         self._has_kept_connection = False
         try:
             return self._converse(placement, connection, occupancy)
@@ -450,7 +452,7 @@
     def _wait(self, placement: Placement) -> BeginWait:
         until_s = self._job.end_s
         attempts_left = self._job.route.max_attempts - self._progress.attempts
-        if self._job.route.may_repeat and attempts_left > 0:
+        if self._job.route.is_retryable and attempts_left > 0:
             share_s = self._job.remaining_s * FIRST_BYTE_SHARE
             until_s = min(until_s, time.monotonic() + share_s)
         wait = BeginWait(
@@ -458,7 +460,7 @@
             placement.status.upstream.address,
             self._caller.socket,
             self._caller.check_present,
-            placement.begin_left_s,
+            placement.remaining_grace_s,
         )
         if not self._job.route.is_stream:
             # It begins long before its answer, so its beginning cannot be seen.
@@ -526,7 +528,7 @@
 
     def _may_try_again(self) -> bool:
         route = self._job.route
-        return route.may_repeat and self._progress.attempts < route.max_attempts
+        return route.is_retryable and self._progress.attempts < route.max_attempts
 
     def _send_whole(self, answer: WholeAnswer) -> tuple[bool, str]:
         """Send a whole answer of an upstream to the caller."""
@@ -605,7 +607,7 @@
         if self._first_event_s is None:
             self._placement.note_first_event(now_s - self._sent_s)
             if self._sent_request is not None:
-                self._sent_request.note_begun()
+                self._sent_request.note_first_event()
             self._first_event_s = now_s - self._job.request.received_s
         if self._paused_since_s is not None:
             _log.bind(
--- a/src/kumquatseam/gateway/_handler.py
+++ b/src/kumquatseam/gateway/_handler.py
@@ -185,7 +185,7 @@
     def _authenticate(
         self, table: RouteTable, route: Route, call: Call
     ) -> TeamTraits | None:
-        team = table.team_of(call.key) if call.key else None
+        team = table.team_for_key(call.key) if call.key else None
         if team is None and table.teams and not route.is_public:
             raise RefusedError(401, Reason.UNKNOWN_KEY, detail=f"v{table.version}")
         return team
--- a/src/kumquatseam/gateway/_relocation.py
+++ b/src/kumquatseam/gateway/_relocation.py
@@ -49,7 +49,7 @@
             return
         if self._job.call.tokens > MAX_MOVED_TOKENS:
             return
-        self._destination = self._parts.placer.destination(self._placement)
+        self._destination = self._parts.placer.move_destination(self._placement)
         if self._destination is None:
             return
         self._began_s = time.monotonic()
@@ -84,4 +84,4 @@
         ).info("Run moved." if moved else "Run lost in a move.")
         if moved is None:
             return None
-        return self._destination.going_on_from(moved)
+        return self._destination.with_moved_run(moved)
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -41,7 +41,7 @@
     Questions,
     RendezvousOrder,
 )
-from kumquatseam.placement import BeginBound, DirectWork, Placer
+from kumquatseam.placement import BroadcastWork, Placer, ReplacedWeightsGrace
 from kumquatseam.prompts import PromptIndex
 from kumquatseam.quarantine import (
     SUSPECTS_TOPIC,
@@ -217,7 +217,7 @@
             self._targets,
             work=self._work,
             reuse_window_s=self._file.prompts.reuse_window_s,
-            begin_bound=BeginBound(
+            replaced_weights_grace=ReplacedWeightsGrace(
                 self._file.rollout.begin_s,
                 operator_pace(self._file.feeds).stale_after_s,
             ),
@@ -292,7 +292,7 @@
         self._tracker_client = client
         return FleetWork(
             lambda: self._bus.view().is_direct,
-            DirectWork(self._directory, self._index, self._loads.on_upstream),
+            BroadcastWork(self._directory, self._index, self._loads.on_upstream),
             TrackedWork(client, self._directory, name),
         )
 
--- a/src/kumquatseam/placement/__init__.py
+++ b/src/kumquatseam/placement/__init__.py
@@ -1,15 +1,15 @@
 """Where a request goes, decided apart from input and output.
 
 - :func:`choose` picks one :class:`Candidate`; a pure function.
-- :class:`BeginBound` says how long replaced weights may be begun on.
+- :class:`ReplacedWeightsGrace` says how long replaced weights may be begun on.
 - :class:`CachePlanner` says what each engine would have, fetch and read.
 - :class:`EngineComparison` compares the engines that may take a prompt.
 - :class:`Placer` gathers the candidates for a request.
 - :class:`WorkSource` is where the work of other instances is known from;
-  :class:`DirectWork` is for fleets in which everyone is told everything.
+  :class:`BroadcastWork` is for fleets in which everyone is told everything.
 """
 
-from kumquatseam.placement._begin_bound import BeginBound
+from kumquatseam.placement._begin_bound import ReplacedWeightsGrace
 from kumquatseam.placement._cache_plan import (
     CachePlan,
     CachePlanner,
@@ -23,28 +23,28 @@
 from kumquatseam.placement._request import Placement, PlacementRequest
 from kumquatseam.placement._wait_estimate import WaitEstimate
 from kumquatseam.placement._work import (
-    DirectWork,
+    BroadcastWork,
     HolderScope,
-    KnownWork,
-    NewWork,
-    Option,
+    OutstandingWork,
+    PlacementOption,
+    RequestWork,
     WorkSource,
     WorkView,
 )
 
 __all__ = [
-    "BeginBound",
+    "ReplacedWeightsGrace",
     "CachePlan",
     "CachePlanner",
     "CacheSource",
     "Candidate",
-    "DirectWork",
+    "BroadcastWork",
     "EngineComparison",
     "EnginePace",
     "HolderScope",
-    "KnownWork",
-    "NewWork",
-    "Option",
+    "OutstandingWork",
+    "RequestWork",
+    "PlacementOption",
     "Placement",
     "PlacementRequest",
     "Placer",
--- a/src/kumquatseam/placement/_begin_bound.py
+++ b/src/kumquatseam/placement/_begin_bound.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class BeginBound:
+class ReplacedWeightsGrace:
     """The users' bound, and what an instance keeps back of it.
 
     :param begin_s: how long after a naming a request may begin on replaced weights.
@@ -40,7 +40,7 @@
     """
 
     _targets: WeightsTargets
-    _bound: BeginBound
+    _bound: ReplacedWeightsGrace
 
     def left_s(self, model: str, version: int) -> float:
         """Return how much longer a request may begin on ``version``.
--- a/src/kumquatseam/placement/_cache_plan.py
+++ b/src/kumquatseam/placement/_cache_plan.py
@@ -34,7 +34,7 @@
 
     :param held_tokens: leading tokens it has.
     :param fetched_tokens: further tokens it fetches.
-    :param read_tokens: tokens it has to read.
+    :param prefill_tokens: tokens it has to read.
     :param repeated_tokens: those of them that another engine has read for the
         same weights and scope.
     :param fetch_ms: time to fetch.
@@ -43,7 +43,7 @@
 
     held_tokens: int
     fetched_tokens: int
-    read_tokens: int
+    prefill_tokens: int
     repeated_tokens: int
     fetch_ms: float = 0.0
     source: CacheSource | None = None
--- a/src/kumquatseam/placement/_choice.py
+++ b/src/kumquatseam/placement/_choice.py
@@ -30,7 +30,7 @@
     """An upstream that may take a request.
 
     :param incarnation_id: names it.
-    :param read_tokens: prompt tokens it would have to read.
+    :param prefill_tokens: prompt tokens it would have to read.
     :param running: requests on it, as far as known.
     :param slots: requests it runs at once.
     :param rank: its place in the prompt's own order of upstreams, from 0; the
@@ -44,7 +44,7 @@
     """
 
     incarnation_id: str
-    read_tokens: int
+    prefill_tokens: int
     running: float
     slots: int
     rank: int
@@ -57,7 +57,7 @@
 
 def wait_ms(candidate: Candidate) -> float:
     """Return the modelled time to the first token on ``candidate``."""
-    unread_tokens = candidate.read_tokens + candidate.pending_tokens
+    unread_tokens = candidate.prefill_tokens + candidate.pending_tokens
     prefill_ms = unread_tokens / PREFILL_TOKENS_PER_MS
     beyond_slots = max(0.0, candidate.running + 1 - candidate.slots)
     beyond = max(beyond_slots, candidate.beyond_memory)
@@ -71,7 +71,7 @@
 
 def queue_ms(candidate: Candidate) -> float:
     """Return how much of the modelled time goes by with the work of others."""
-    own_ms = candidate.read_tokens / PREFILL_TOKENS_PER_MS + candidate.fetch_ms
+    own_ms = candidate.prefill_tokens / PREFILL_TOKENS_PER_MS + candidate.fetch_ms
     return wait_ms(candidate) - own_ms
 
 
--- a/src/kumquatseam/placement/_comparison.py
+++ b/src/kumquatseam/placement/_comparison.py
@@ -12,7 +12,12 @@
 )
 from kumquatseam.placement._choice import Candidate, WaitLimit, choose, wait_ms
 from kumquatseam.placement._request import PlacementRequest
-from kumquatseam.placement._work import HolderScope, Option, WorkSource, WorkView
+from kumquatseam.placement._work import (
+    HolderScope,
+    PlacementOption,
+    WorkSource,
+    WorkView,
+)
 from kumquatseam.routes import TeamTraits
 from kumquatseam.upstreams import UpstreamDirectory
 
@@ -64,7 +69,7 @@
         self._reuse_window_s = reuse_window_s
         self.store = store_for(request.prompt, request.cache_stores)
 
-    def best(self, options: Sequence[Option]) -> EngineChoice | None:
+    def best(self, options: Sequence[PlacementOption]) -> EngineChoice | None:
         """Return the best engine for the prompt, if there is any.
 
         The engines that few have work on are compared first. A refusal must not
@@ -74,8 +79,8 @@
         shortlist = self._work.shortlist(options)
         best = self._compare(shortlist)
         if shortlist and (best is None or not self.is_in_time(best)):
-            passed = {option.incarnation_id for option in shortlist}
-            others = self._compare(self._work.shortlist(options, passed))
+            already_compared = {option.incarnation_id for option in shortlist}
+            others = self._compare(self._work.shortlist(options, already_compared))
             if others is not None and (best is None or self.is_in_time(others)):
                 return others
         return best
@@ -84,7 +89,7 @@
         """Return whether the prompt would wait no longer than it may."""
         return self._limit.allows(choice.candidate)
 
-    def _compare(self, options: Sequence[Option]) -> EngineChoice | None:
+    def _compare(self, options: Sequence[PlacementOption]) -> EngineChoice | None:
         if not options:
             return None
         view = self._work.view(self._request.prompt, self._scopes(options))
@@ -136,7 +141,7 @@
             return True
         return view.kept_s(address) >= self._reuse_window_s
 
-    def _scopes(self, options: Sequence[Option]) -> list[HolderScope]:
+    def _scopes(self, options: Sequence[PlacementOption]) -> list[HolderScope]:
         """Return the holders whose parts count: the engines and the store."""
         team = self._request.team
         scopes = [
@@ -168,14 +173,16 @@
             sources.append(CacheSource(address, address, zone, store.link_mbps))
         return CachePlanner(request.prompt, holders, sources, request.service.engine)
 
-    def _candidate(self, option: Option, plan: CachePlan, view: WorkView) -> Candidate:
+    def _candidate(
+        self, option: PlacementOption, plan: CachePlan, view: WorkView
+    ) -> Candidate:
         work = view.work_on(option.status)
         own_tokens = max(1, self._request.own_tokens)
         capacity_tokens = self._request.service.engine.cache_tokens
         missing_tokens = work.memory_tokens + own_tokens - capacity_tokens
         return Candidate(
             option.incarnation_id,
-            plan.read_tokens,
+            plan.prefill_tokens,
             work.running,
             option.status.upstream.slots,
             option.rank,
--- a/src/kumquatseam/placement/_placer.py
+++ b/src/kumquatseam/placement/_placer.py
@@ -11,7 +11,7 @@
 from kumquatseam.errors import OverloadedError
 from kumquatseam.logs import part_logger
 from kumquatseam.peers import UpstreamLoad
-from kumquatseam.placement._begin_bound import BeginBound, BeginLimit
+from kumquatseam.placement._begin_bound import BeginLimit, ReplacedWeightsGrace
 from kumquatseam.placement._choice import Candidate, WaitLimit, choose, wait_ms
 from kumquatseam.placement._comparison import (
     DEFAULT_REUSE_WINDOW_S,
@@ -22,7 +22,12 @@
 from kumquatseam.placement._engine_pace import EnginePace
 from kumquatseam.placement._request import Placement, PlacementRequest
 from kumquatseam.placement._wait_estimate import WaitEstimate
-from kumquatseam.placement._work import DirectWork, HolderScope, Option, WorkSource
+from kumquatseam.placement._work import (
+    BroadcastWork,
+    HolderScope,
+    PlacementOption,
+    WorkSource,
+)
 from kumquatseam.prompts import PromptChain, PromptIndex
 from kumquatseam.upstreams import (
     UNKNOWN_AGE_S,
@@ -74,7 +79,7 @@
     :param work: knows the work on upstreams; by default what ``peer_loads`` and
         ``index`` say.
     :param reuse_window_s: parts asked for again within this time are worth keeping.
-    :param begin_bound: how long requests may begin on replaced weights.
+    :param replaced_weights_grace: how long requests may begin on replaced weights.
     """
 
     def __init__(
@@ -87,15 +92,17 @@
         clock: Callable[[], float] = time.monotonic,
         work: WorkSource | None = None,
         reuse_window_s: float = DEFAULT_REUSE_WINDOW_S,
-        begin_bound: BeginBound | None = None,
+        replaced_weights_grace: ReplacedWeightsGrace | None = None,
     ) -> None:
         self._directory = directory
         self._zone = zone
         self._targets = targets
-        self._work = work or DirectWork(directory, index, peer_loads)
+        self._work = work or BroadcastWork(directory, index, peer_loads)
         self._clock = clock
         self._reuse_window_s = reuse_window_s
-        self._begin_limit = BeginLimit(targets, begin_bound or BeginBound())
+        self._begin_limit = BeginLimit(
+            targets, replaced_weights_grace or ReplacedWeightsGrace()
+        )
         self._paces: dict[str, EnginePace] = {}
         directory.on_gone(lambda gone: self._paces.pop(gone.incarnation_id, None))
         #: how long first events really take.
@@ -113,7 +120,7 @@
             return self._place_on_engine(request, open_statuses)
         return self._place_plainly(request, open_statuses)
 
-    def destination(self, placement: Placement) -> Placement | None:
+    def move_destination(self, placement: Placement) -> Placement | None:
         """Return where a run goes whose engine is to be emptied.
 
         Only engines of the same weights can go on with it, and only while
@@ -196,7 +203,7 @@
         self, request: PlacementRequest, statuses: list[UpstreamStatus]
     ) -> Placement | None:
         limit = WaitLimit(
-            self.waits.believed_ms(request.longest_wait_s * 1000.0),
+            self.waits.believed_ms(request.max_wait_s * 1000.0),
             self.waits.believed_ms(request.longest_alone_s * 1000.0),
         )
         comparison = EngineComparison(
@@ -215,7 +222,7 @@
             request.model,
             best.version,
             cache_salt(best.version, request.team),
-            best.plan.read_tokens,
+            best.plan.prefill_tokens,
             comparison.cache_source(best.plan),
             comparison.cache_target(best),
             prompt=request.prompt,
@@ -228,7 +235,7 @@
 
     def _engine_options(
         self, request: PlacementRequest, statuses: list[UpstreamStatus]
-    ) -> list[Option]:
+    ) -> list[PlacementOption]:
         """Return the engines that the prompt may begin on, as they stand."""
         order = _rank(request.prompt, [s.upstream.upstream_id for s in statuses])
         now_s = self._clock()
@@ -241,7 +248,9 @@
                 penalty_ms += CLOSING_PENALTY_MS
             rank = order[status.upstream.upstream_id]
             begin_within_ms = self._begin_within_ms(request.model, status)
-            options.append(Option(status, version, rank, penalty_ms, begin_within_ms))
+            options.append(
+                PlacementOption(status, version, rank, penalty_ms, begin_within_ms)
+            )
         return options
 
     def _begin_within_ms(self, model: str, status: UpstreamStatus) -> float:
@@ -261,7 +270,7 @@
     ) -> Placement | None:
         options = self._work.shortlist(
             [
-                Option(
+                PlacementOption(
                     status,
                     penalty_ms=self._distance_ms(status) + 100.0 * status.failure_share,
                 )
--- a/src/kumquatseam/placement/_request.py
+++ b/src/kumquatseam/placement/_request.py
@@ -7,7 +7,7 @@
 from kumquatseam.placement._begin_bound import BeginLimit
 from kumquatseam.placement._engine_pace import EnginePace, SentRequest
 from kumquatseam.placement._wait_estimate import WaitEstimate
-from kumquatseam.placement._work import NewWork
+from kumquatseam.placement._work import RequestWork
 from kumquatseam.prompts import PromptChain
 from kumquatseam.rollouts import MovedRun
 from kumquatseam.routes import CacheStore, ServiceTraits, TeamTraits
@@ -25,7 +25,7 @@
     :param prompt: its prompt.
     :param excluded: upstreams that already failed or refused it.
     :param attempt: from 1.
-    :param longest_wait_s: a longer wait for its answer means a refusal,
+    :param max_wait_s: a longer wait for its answer means a refusal,
     :param longest_alone_s: but where next to nothing is before it only a wait longer
         than this.
     :param cache_stores: the stores of kept KV cache.
@@ -39,7 +39,7 @@
     prompt: PromptChain
     excluded: frozenset[str]
     attempt: int
-    longest_wait_s: float = math.inf
+    max_wait_s: float = math.inf
     longest_alone_s: float = 0.0
     cache_stores: tuple[CacheStore, ...] = ()
     output_tokens: int = 0
@@ -58,7 +58,7 @@
     :param model: the model it asks for, ``""`` for plain services.
     :param version: weights the request must run on, if it names a model.
     :param salt: the scope of its cached parts.
-    :param read_tokens: prompt tokens it has to read.
+    :param prefill_tokens: prompt tokens it has to read.
     :param cache_source: where it fetches parts; ``""`` for nowhere.
     :param cache_target: where it sends the parts it reads; ``""`` for nowhere.
     :param moved_run: a run that goes on there from a copy of its memory.
@@ -74,7 +74,7 @@
     model: str = ""
     version: int | None = None
     salt: str = ""
-    read_tokens: int = 0
+    prefill_tokens: int = 0
     cache_source: str = ""
     cache_target: str = ""
     moved_run: MovedRun | None = None
@@ -97,7 +97,7 @@
         if self.waits is not None and self.moved_run is None:
             self.waits.note(self.believed_ms, took_s * 1000.0)
 
-    def begin_left_s(self) -> float:
+    def remaining_grace_s(self) -> float:
         """Return how much longer at least the request may wait to begin there.
 
         A run that was moved there has begun.
@@ -107,24 +107,24 @@
             return math.inf
         return self.begin_limit.sure_s(self.model, version)
 
-    def going_on_from(self, moved: MovedRun) -> "Placement":
+    def with_moved_run(self, moved: MovedRun) -> "Placement":
         """Return this placement for a run that was moved to it.
 
         Its memory was copied, so next to nothing is left to read.
         """
-        return attrs.evolve(self, moved_run=moved, read_tokens=0)
+        return attrs.evolve(self, moved_run=moved, prefill_tokens=0)
 
-    def new_work(self, lasts_s: float) -> NewWork:
+    def request_work(self, lasts_s: float) -> RequestWork:
         """Return the work that sending the request brings.
 
         :param lasts_s: how long it lasts at most.
         """
-        return NewWork(
+        return RequestWork(
             self.status,
             self.salt,
             self.prompt,
             self.cache_target,
-            self.read_tokens,
+            self.prefill_tokens,
             self.own_tokens,
             lasts_s,
         )
--- a/src/kumquatseam/placement/_work.py
+++ b/src/kumquatseam/placement/_work.py
@@ -2,7 +2,7 @@
 
 Each instance knows its own requests. What the others have on an upstream, and
 which prompt parts it keeps, comes from a :class:`WorkSource`: in a small fleet
-everyone is told everything (:class:`DirectWork`), in a large one a few instances
+everyone is told everything (:class:`BroadcastWork`), in a large one a few instances
 are asked.
 """
 
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Option:
+class PlacementOption:
     """An upstream that may take a request, before the work on it is known.
 
     :param status: the upstream.
@@ -42,7 +42,7 @@
         return self.status.upstream.incarnation_id
 
     @property
-    def standing_cost_ms(self) -> float:
+    def static_cost_ms(self) -> float:
         """What speaks against it however little work it has."""
         return self.penalty_ms + self.rank * RANK_MS
 
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class KnownWork:
+class OutstandingWork:
     """The work of all instances on one upstream.
 
     :param running: requests on it.
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class NewWork:
+class RequestWork:
     """A request that is about to be sent to an upstream.
 
     :param status: the upstream.
@@ -99,7 +99,7 @@
     """What is known of some upstreams, for one request."""
 
     @abc.abstractmethod
-    def work_on(self, status: UpstreamStatus) -> KnownWork:
+    def work_on(self, status: UpstreamStatus) -> OutstandingWork:
         """Return the work on an upstream."""
 
     @abc.abstractmethod
@@ -116,8 +116,8 @@
 
     @abc.abstractmethod
     def shortlist(
-        self, options: Sequence[Option], passed: Collection[str] = ()
-    ) -> list[Option]:
+        self, options: Sequence[PlacementOption], already_compared: Collection[str] = ()
+    ) -> list[PlacementOption]:
         """Return the options to compare, with the ranks they count with.
 
         :param passed: upstreams that were compared before, and are not good
@@ -138,11 +138,11 @@
         """
 
     @abc.abstractmethod
-    def begin(self, work: NewWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> Occupancy:
         """Count a request that is about to be sent."""
 
 
-class DirectWork(WorkSource):
+class BroadcastWork(WorkSource):
     """Every instance is told what every other one does.
 
     :param directory: this process's own requests.
@@ -161,9 +161,9 @@
         self._peer_loads = peer_loads
 
     def shortlist(
-        self, options: Sequence[Option], passed: Collection[str] = ()
-    ) -> list[Option]:
-        return [] if passed else list(options)
+        self, options: Sequence[PlacementOption], already_compared: Collection[str] = ()
+    ) -> list[PlacementOption]:
+        return [] if already_compared else list(options)
 
     def view(self, prompt: PromptChain, scopes: Sequence[HolderScope]) -> WorkView:
         return _DirectView(self._index, self._peer_loads, prompt)
@@ -178,7 +178,7 @@
             found[incarnation_id] = own + self._peer_loads(incarnation_id).running
         return found
 
-    def begin(self, work: NewWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> Occupancy:
         self._index.note_read(
             work.status.upstream.incarnation_id,
             work.salt,
@@ -199,9 +199,9 @@
         self._peer_loads = peer_loads
         self._prompt = prompt
 
-    def work_on(self, status: UpstreamStatus) -> KnownWork:
+    def work_on(self, status: UpstreamStatus) -> OutstandingWork:
         peers = self._peer_loads(status.upstream.incarnation_id)
-        return KnownWork(
+        return OutstandingWork(
             status.running + peers.running,
             status.pending_tokens + peers.pending_tokens,
         )
--- a/src/kumquatseam/platform/_records.py
+++ b/src/kumquatseam/platform/_records.py
@@ -64,7 +64,7 @@
         is_resumable=bool(raw.get("resumable")),
         timeout_s=float(raw["timeoutMs"]) / 1000.0,
         target_latency_s=float(raw.get("targetLatencyMs", 1000)) / 1000.0,
-        gap_aim_s=float(raw.get("gapAimMs", 1000)) / 1000.0,
+        target_event_gap_s=float(raw.get("gapAimMs", 1000)) / 1000.0,
         priority=int(raw.get("priority", 5)),
         max_attempts=int(raw.get("maxAttempts", 1)),
         is_public=bool(raw.get("public")),
@@ -130,8 +130,8 @@
     return TeamQuota(
         rate_per_s,
         max(0.0, float(raw.get("burst") or 0)),
-        is_in_tokens=raw.get("unit") == _COUNTED_IN_TOKENS,
-        plain_tokens=max(0, int(raw.get("plainTokens") or 0)),
+        is_token_based=raw.get("unit") == _COUNTED_IN_TOKENS,
+        default_tokens=max(0, int(raw.get("plainTokens") or 0)),
     )
 
 
--- a/src/kumquatseam/routes/__init__.py
+++ b/src/kumquatseam/routes/__init__.py
@@ -2,7 +2,7 @@
 
 A :class:`RouteTable` is one immutable version of the configuration: routes,
 services, teams with their keys, and limits. Look a request up with
-:meth:`RouteTable.match` and its key with :meth:`RouteTable.team_of`.
+:meth:`RouteTable.match` and its key with :meth:`RouteTable.team_for_key`.
 """
 
 from kumquatseam.routes._live import LiveRouteTable
--- a/src/kumquatseam/routes/_table.py
+++ b/src/kumquatseam/routes/_table.py
@@ -39,7 +39,7 @@
     :param is_resumable: a broken stream may go on after its last event.
     :param timeout_s: how long a request may be kept waiting at most.
     :param target_latency_s: time to the answer (or first event) aimed at.
-    :param gap_aim_s: longest pause between events aimed at.
+    :param target_event_gap_s: longest pause between events aimed at.
     :param priority: 0 is the most urgent.
     :param max_attempts: upstreams one request may be sent to.
     :param is_public: needs no key.
@@ -55,13 +55,13 @@
     is_resumable: bool = False
     timeout_s: float = 30.0
     target_latency_s: float = 1.0
-    gap_aim_s: float = 1.0
+    target_event_gap_s: float = 1.0
     priority: int = 5
     max_attempts: int = 1
     is_public: bool = False
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request that may have run may be sent again."""
         return self.repeatability is Repeatability.IDEMPOTENT or self.is_resumable
 
@@ -149,23 +149,23 @@
 
     :param rate_per_s: requests or tokens a second.
     :param burst: requests or tokens beyond that at once.
-    :param is_in_tokens: whether tokens are counted, not requests.
-    :param plain_tokens: tokens of a request that does not say how many it uses.
+    :param is_token_based: whether tokens are counted, not requests.
+    :param default_tokens: tokens of a request that does not say how many it uses.
     """
 
     rate_per_s: float
     burst: float
-    is_in_tokens: bool = False
-    plain_tokens: int = 0
+    is_token_based: bool = False
+    default_tokens: int = 0
 
     def cost(self, tokens: int | None) -> int:
         """Return what a request takes of the quota.
 
         :param tokens: the tokens it says that it uses; ``None`` if it does not.
         """
-        if not self.is_in_tokens:
+        if not self.is_token_based:
             return 1
-        return self.plain_tokens if tokens is None else tokens
+        return self.default_tokens if tokens is None else tokens
 
 
 @attrs.frozen
@@ -240,7 +240,7 @@
                 return route
         return None
 
-    def team_of(self, key: str) -> TeamTraits | None:
+    def team_for_key(self, key: str) -> TeamTraits | None:
         """Return the team that ``key`` authenticates."""
         return self._by_key.get(key)
 
--- a/src/kumquatseam/trackers/_work.py
+++ b/src/kumquatseam/trackers/_work.py
@@ -10,9 +10,9 @@
 from kumquatseam.peers import InstanceRecord
 from kumquatseam.placement import (
     HolderScope,
-    KnownWork,
-    NewWork,
-    Option,
+    OutstandingWork,
+    PlacementOption,
+    RequestWork,
     WorkSource,
     WorkView,
 )
@@ -72,14 +72,14 @@
         self._running: dict[str, tuple[float, int]] = {}
 
     def shortlist(
-        self, options: Sequence[Option], passed: Collection[str] = ()
-    ) -> list[Option]:
-        left = [o for o in options if o.incarnation_id not in passed]
-        if passed:
+        self, options: Sequence[PlacementOption], already_compared: Collection[str] = ()
+    ) -> list[PlacementOption]:
+        left = [o for o in options if o.incarnation_id not in already_compared]
+        if already_compared:
             drawn = self._sample(left, LAST_RESORT_OPTIONS)
             return [attrs.evolve(o, rank=STANDING_OPTIONS) for o in drawn]
         self._draw.shuffle(left)
-        left.sort(key=lambda option: option.standing_cost_ms)
+        left.sort(key=lambda option: option.static_cost_ms)
         chosen, rest = left[:STANDING_OPTIONS], left[STANDING_OPTIONS:]
         if rest:
             least_ms = chosen[0].penalty_ms
@@ -113,7 +113,7 @@
         self._forget_gone()
         return {i: self._running[i][1] for i in incarnation_ids if i in self._running}
 
-    def begin(self, work: NewWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> Occupancy:
         holder = work.status.upstream.incarnation_id
         record = self._client.tracker_of(holder)
         if record is None:
@@ -126,7 +126,7 @@
             work.prompt.shared,
             work.pending_tokens,
             work.own_tokens,
-            int(max(0.0, work.lasts_s) * 1000),
+            int(max(0.0, work.max_duration_s) * 1000),
         )
         self._client.tell_instance(record, began)
         if work.cache_target:
@@ -135,7 +135,9 @@
         teller = _Teller(self._client, record, work_id)
         return self._directory.begin(work.status, work.pending_tokens, teller)
 
-    def _sample(self, options: list[Option], count: int) -> list[Option]:
+    def _sample(
+        self, options: list[PlacementOption], count: int
+    ) -> list[PlacementOption]:
         return self._draw.sample(options, min(count, len(options)))
 
     def _forget_gone(self) -> None:
@@ -171,12 +173,12 @@
         self._loads = {(load.holder, load.salt): load for load in loads}
         self._by_holder = {load.holder: load for load in loads}
 
-    def work_on(self, status: UpstreamStatus) -> KnownWork:
+    def work_on(self, status: UpstreamStatus) -> OutstandingWork:
         load = self._by_holder.get(status.upstream.incarnation_id)
         if load is None:
             # Nobody says; what this process has there is all that is known.
-            return KnownWork(status.running, status.pending_tokens)
-        return KnownWork(load.running, load.pending_tokens, load.memory_tokens)
+            return OutstandingWork(status.running, status.pending_tokens)
+        return OutstandingWork(load.running, load.pending_tokens, load.memory_tokens)
 
     def kept_s(self, holder: str) -> float:
         load = self._by_holder.get(holder)
@@ -233,9 +235,9 @@
         return self._direct if self._is_small() else self._tracked
 
     def shortlist(
-        self, options: Sequence[Option], passed: Collection[str] = ()
-    ) -> list[Option]:
-        return self._current.shortlist(options, passed)
+        self, options: Sequence[PlacementOption], already_compared: Collection[str] = ()
+    ) -> list[PlacementOption]:
+        return self._current.shortlist(options, already_compared)
 
     def view(self, prompt: PromptChain, scopes: Sequence[HolderScope]) -> WorkView:
         return self._current.view(prompt, scopes)
@@ -245,5 +247,5 @@
     ) -> Mapping[str, int]:
         return self._current.running_on(incarnation_ids, max_age_s)
 
-    def begin(self, work: NewWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> Occupancy:
         return self._current.begin(work)
