--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -146,8 +146,8 @@
     for number in range(600):
         clock.now_s += 10 / 600
         budget = budgets[number % 7]
-        budget.note_request()
-        while budget.take():
+        budget.record_request()
+        while budget.try_acquire():
             retries += 1
     assert retries <= 0.2 * 600 + 54, retries
 
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -6,7 +6,7 @@
 import gevent.socket
 from behave import given, then, when
 from quarantine_world import lone_quarantine
-from quota_world import lone_quotas
+from quota_world import single_instance_quotas
 
 from kumquatseam.admission import RetryBudget
 from kumquatseam.gateway._caller import CallerConnection
@@ -151,7 +151,7 @@
             GatewayMetrics(),
             MovingOrders(),
             lone_quarantine(),
-            lone_quotas(),
+            single_instance_quotas(),
         )
     )
 
--- a/features/steps/own_fault_steps.py
+++ b/features/steps/own_fault_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from log_capture import captured_lines
 from quarantine_world import lone_quarantine
-from quota_world import lone_quotas
+from quota_world import single_instance_quotas
 
 from kumquatseam.admission import RetryBudget
 from kumquatseam.gateway._caller import CallerConnection
@@ -87,7 +87,7 @@
             GatewayMetrics(),
             None,
             lone_quarantine(),
-            lone_quotas(),
+            single_instance_quotas(),
         )
     )
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -191,7 +191,7 @@
 def step_plain(context):
     fleet = context.quota_fleet
     traits = TeamTraits(TEAM, quota=context.quota)
-    context.grant = fleet.sides["i1"].quotas.take(traits, None, 2, "r")
+    context.grant = fleet.sides["i1"].quotas.acquire(traits, None, 2, "r")
 
 
 @when("a request of {cost:d} tokens is let through, does not run and is given back")
@@ -202,9 +202,9 @@
     (name, *_) = [n for n in fleet.sides if n != keeper]
     quotas = fleet.sides[name].quotas
     # The first question makes the bucket known; it fills meanwhile.
-    quotas.take(traits, 1, 2, "r0")
+    quotas.acquire(traits, 1, 2, "r0")
     fleet.run(SETTLE_S)
-    quotas.give_back(quotas.take(traits, cost, 2, "r"))
+    quotas.refund(quotas.acquire(traits, cost, 2, "r"))
 
 
 @when("{for_s:g} seconds pass without requests")
@@ -338,7 +338,7 @@
 def step_full(context):
     fleet = context.quota_fleet
     fleet.net.run_until(fleet.clock())
-    keeper = fleet.keeper_of(TEAM)[0].quotas.keeper
+    keeper = fleet.keeper_of(TEAM)[0].quotas.allocator
     (kept,) = keeper._kept.values()
     assert kept.bucket.level(fleet.clock()) == context.quota.burst
 
--- a/features/steps/quota_world.py
+++ b/features/steps/quota_world.py
@@ -158,7 +158,7 @@
         table = side.table
         (traits,) = [t for t in table.teams if t.name == team] or [TeamTraits(team)]
         try:
-            grant = side.quotas.take(traits, cost, table.version, "r")
+            grant = side.quotas.acquire(traits, cost, table.version, "r")
             taken.is_granted = True
             taken.is_over = grant is not None and grant.is_over
         except QuotaExceededError as error:
@@ -238,7 +238,7 @@
     return TeamQuota(rate_per_s, burst, is_token_based=True, default_tokens=200)
 
 
-def lone_quotas():
+def single_instance_quotas():
     """Return the quotas of an instance without others."""
     records = (InstanceRecord("alone", "127.0.0.1:1"),)
     return TeamQuotas(QuotaParts("alone", lambda: records, NoDatagrams(), lambda: None))
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -60,8 +60,8 @@
 @when("{count:d} requests arrive and each asks for a retry")
 def step_retries(context, count):
     for _ in range(count):
-        context.budget.note_request()
-    context.allowed = sum(context.budget.take() for _ in range(count))
+        context.budget.record_request()
+    context.allowed = sum(context.budget.try_acquire() for _ in range(count))
 
 
 @then("{count:d} retries are allowed")
--- a/features/steps/waiting_world.py
+++ b/features/steps/waiting_world.py
@@ -6,7 +6,7 @@
 import gevent.server
 import gevent.socket
 from quarantine_world import lone_quarantine
-from quota_world import lone_quotas
+from quota_world import single_instance_quotas
 
 from kumquatseam.admission import RetryBudget
 from kumquatseam.gateway._caller import CallerConnection
@@ -145,7 +145,7 @@
                 GatewayMetrics(),
                 None,
                 lone_quarantine(),
-                lone_quotas(),
+                single_instance_quotas(),
             )
         )
 
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -352,7 +352,7 @@
         self._spend_retry()
 
     def _spend_retry(self) -> None:
-        if not self._parts.retry_budget(self._job.service.name).take():
+        if not self._parts.retry_budget(self._job.service.name).try_acquire():
             self._give_up(Reason.BUDGET_SPENT, "retry budget")
 
     def _log_failure(self, placement: Placement, detail: str) -> None:
--- a/src/kumquatseam/gateway/_gauges.py
+++ b/src/kumquatseam/gateway/_gauges.py
@@ -61,7 +61,7 @@
         lambda: _count_on_newest_weights(directory, targets),
     )
     metrics.gauge("requests_suspected", lambda: len(parts.quarantine.suspects))
-    metrics.gauge("quotas_kept", lambda: len(parts.quotas.keeper))
+    metrics.gauge("quotas_kept", lambda: len(parts.quotas.allocator))
     metrics.gauge("holders_tracked", lambda: len(parts.tracker.tracked_holders()))
 
 
@@ -72,7 +72,7 @@
     metrics.counter("quota_refusals", lambda: parts.quotas.refused)
     metrics.counter("quota_questions", lambda: parts.quotas.calls.asked)
     metrics.counter("quota_keepers_silent", lambda: parts.quotas.calls.unanswered)
-    metrics.counter("quota_decided_alone", lambda: parts.quotas.unkept)
+    metrics.counter("quota_decided_alone", lambda: parts.quotas.decided_locally)
     metrics.counter("upstream_connections", lambda: parts.pool.opened)
     metrics.counter("caller_connections", lambda: parts.server.accepted)
     metrics.counter("log_calls", lambda: parts.log_service.calls)
--- a/src/kumquatseam/gateway/_handler.py
+++ b/src/kumquatseam/gateway/_handler.py
@@ -131,7 +131,7 @@
         service = table.service(route.service_for(random.random()))
         if service is None:
             raise RefusedError(503, Reason.NO_UPSTREAM, 1.0, "service not configured")
-        self._parts.retry_budget(service.name).note_request()
+        self._parts.retry_budget(service.name).record_request()
         deadline_s = call.deadline_s or DEFAULT_DEADLINE_S
         end_s = request.received_s + min(deadline_s, route.timeout_s)
         asked = fingerprint(
@@ -153,7 +153,7 @@
         call = job.call
         tokens = call.tokens if call.names_tokens else None
         try:
-            return self._parts.quotas.take(
+            return self._parts.quotas.acquire(
                 job.team, tokens, job.table.version, call.request_id
             )
         except QuotaExceededError as error:
@@ -164,7 +164,7 @@
     def _give_back(self, grant: QuotaGrant | None) -> None:
         """Give back what a request took that has not run."""
         if grant is not None:
-            self._parts.quotas.give_back(grant)
+            self._parts.quotas.refund(grant)
 
     @staticmethod
     def _fault(has_sent: bool) -> RefusedError:
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -433,5 +433,5 @@
         self._metrics.gauge("peers_alive", self._count_instances)
         self._metrics.gauge(
             "retries_in_window",
-            lambda: sum(budget.spent for budget in self._budgets.values()),
+            lambda: sum(budget.retries_in_window for budget in self._budgets.values()),
         )
--- a/src/kumquatseam/quotas/_teams.py
+++ b/src/kumquatseam/quotas/_teams.py
@@ -139,7 +139,7 @@
         self._shards: int | None = None
         self._divided_s = float("-inf")
         self.refused = 0
-        self.unkept = 0
+        self.decided_locally = 0
         parts.link.on_message(QuotaQuestion, self._take_question)
         parts.link.on_message(QuotaSpent, lambda m, _: self.keeper.note_spent(m))
         parts.link.on_message(QuotaReturned, lambda m, _: self.keeper.note_returned(m))
@@ -330,7 +330,7 @@
             rate_per_s = limit.rate_per_s / instances
             # Enough for a first request, which leaves it in debt.
             credit.alone = TokenBucket(rate_per_s, burst, 1.0, now_s)
-        self.unkept += 1
+        self.decided_locally += 1
         if not credit.alone.take(cost, now_s):
             wait_ms = int(credit.alone.refuse(cost, now_s) * 1000)
             return QuotaAnswer(0, 0, wait_ms=wait_ms, keeper=self._name)
--- a/src/kumquatseam/serving/_completions.py
+++ b/src/kumquatseam/serving/_completions.py
@@ -160,7 +160,7 @@
 
     def _serve(self, completion: Completion, attempts: _Attempts):
         parts = self._parts
-        parts.retry_budget.note_request()
+        parts.retry_budget.record_request()
         attempts.tokens = tuple(tokenize(completion.prompt))
         team, key = completion.team, completion.idempotency_key
         claimed = parts.claimed(team.name, key, completion.request_id)
@@ -353,7 +353,7 @@
         repeatable = completion.idempotency_key is None or not attempts.may_have_run
         if not repeatable or attempts.count >= self._parts.admission.max_attempts:
             raise UpstreamError(name, attempts.may_have_run, error.detail) from error
-        if not self._parts.retry_budget.take():
+        if not self._parts.retry_budget.try_acquire():
             raise RetryBudgetError(name, attempts.may_have_run) from error
         _log.info(
             "request={} retry attempt={} after_tokens={}: {}.",
--- a/src/kumquatseam/serving/_services.py
+++ b/src/kumquatseam/serving/_services.py
@@ -62,7 +62,7 @@
             :func:`~kumquatseam.serving.may_have_run` tells what it promises.
         """
         parts = self._parts
-        parts.retry_budget.note_request()
+        parts.retry_budget.record_request()
         is_marked = idempotency_key is not None
         repeatable = call.method in service.repeatable_methods and not is_marked
         claimed = parts.claimed(team.name, idempotency_key, call.request_id)
@@ -138,7 +138,7 @@
                 last_attempt = attempt >= self._parts.admission.max_attempts
                 if last_attempt or (started and not repeatable):
                     raise UpstreamError(url, started, error.detail) from error
-                if not self._parts.retry_budget.take():
+                if not self._parts.retry_budget.try_acquire():
                     raise RetryBudgetError(url, started) from error
 
     @staticmethod
