--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -1,19 +1,19 @@
-"""Steps for quotas of teams, in modelled time."""
+"""Steps for team quotas, in simulated time."""
 
 import statistics
 
 from behave import given, then, when
-from quota_world import TOLERANCE, QuotaFleet, allowed_in_window, tokens
+from quota_world import TOLERANCE, QuotaFleet, allowed_in_window, token_quota
 
 from kumquatseam.gateway import MalformedCallError
 from kumquatseam.http1 import Headers, Request
 from kumquatseam.platform._headers import PlatformDialect
-from kumquatseam.quotas import LimitInForce, QuotaTolerance
+from kumquatseam.quotas import QuotaTolerance, VersionedLimit
 from kumquatseam.routes import TeamQuota, TeamTraits
 
 TEAM = "hot"
 OTHER = "other"
-#: time for a bucket to be filled before requests come.
+#: time in which buckets fill before the first request.
 SETTLE_S = 2.0
 
 
@@ -27,7 +27,7 @@
 
 @given("{count:d} instances and a team with a quota of {rate:d} tokens a second")
 def step_fleet(context, count, rate):
-    _build(context, count, tokens(rate) if rate else None)
+    _build(context, count, token_quota(rate) if rate else None)
 
 
 @given(
@@ -35,7 +35,7 @@
     "burst of {burst:d}"
 )
 def step_fleet_burst(context, count, rate, burst):
-    _build(context, count, tokens(rate, burst), QuotaTolerance())
+    _build(context, count, token_quota(rate, burst), QuotaTolerance())
 
 
 @given("{count:d} instances and a team with a quota of {rate:d} requests a second")
@@ -43,49 +43,52 @@
     _build(context, count, TeamQuota(rate, rate), QuotaTolerance())
 
 
-@given("half of the instances do not know its keeper")
-def step_split(context):
+@given("half of the instances do not know its owner")
+def step_owner_unknown(context):
     fleet = context.quota_fleet
-    keeper = fleet.keeper_of(TEAM)[0].record
-    known = tuple(r for r in fleet.records if r != keeper)
-    for record in known[::2]:
-        fleet.sides[record.name].own_records = known
+    owner = fleet.owners_of(TEAM)[0].record
+    others = tuple(r for r in fleet.records if r != owner)
+    for record in others[::2]:
+        fleet.instances[record.name].known_records = others
 
 
-@given("all of them know {count:d} instances alone")
-def step_know_few(context, count):
-    few = context.quota_fleet.records[:count]
-    for side in context.quota_fleet.sides.values():
-        side.own_records = few
+@given("each instance knows only the same {count:d} instances")
+def step_partial_list(context, count):
+    known = context.quota_fleet.records[:count]
+    for instance in context.quota_fleet.instances.values():
+        instance.known_records = known
 
 
-def _offer(context, share, for_s, names=None, is_obedient=False):
+def _offer(context, share, for_s, names=None, obeys_retry_delay=False):
     fleet = context.quota_fleet
     rate = context.quota.rate_per_s * share
     context.since_s = fleet.clock()
     context.for_s = for_s
-    fleet.offer(TEAM, rate, for_s, names, is_obedient)
+    fleet.offer(TEAM, rate, for_s, names, obeys_retry_delay)
 
 
 def _finish(context):
-    """Let everything that was planned happen."""
+    """Run the simulation until all requests have arrived and are decided."""
     end_s = context.since_s + context.for_s + 0.5
     context.quota_fleet.run(end_s - context.quota_fleet.clock())
 
 
-@when("the team sends {share:g} of its quota for {for_s:g} seconds")
+@when("the team sends {share:g} times its quota for {for_s:g} seconds")
 def step_send(context, share, for_s):
     _offer(context, share, for_s)
 
 
-@when("the team sends {share:g} of its quota for {for_s:g} seconds and obeys refusals")
+@when(
+    "the team sends {share:g} times its quota for {for_s:g} seconds and obeys retry "
+    "delays"
+)
 def step_send_obedient(context, share, for_s):
-    _offer(context, share, for_s, is_obedient=True)
+    _offer(context, share, for_s, obeys_retry_delay=True)
 
 
-@when("the team sends {share:g} of its quota through {where} for {for_s:g} seconds")
+@when("the team sends {share:g} times its quota through {where} for {for_s:g} seconds")
 def step_send_through(context, share, where, for_s):
-    names = list(context.quota_fleet.sides)
+    names = list(context.quota_fleet.instances)
     chosen = {
         "all instances": names,
         "a third": names[: len(names) // 3],
@@ -101,25 +104,27 @@
     context.quota_fleet.offer(TEAM, tokens_per_s, for_s)
 
 
-@when("another team sends {share:g} of a quota of {rate:d} tokens a second meanwhile")
-def step_other(context, share, rate):
-    context.other_quota = tokens(rate)
+@when(
+    "another team sends {share:g} times a quota of {rate:d} tokens a second meanwhile"
+)
+def step_send_other(context, share, rate):
+    context.other_quota = token_quota(rate)
     context.quota_fleet.set_quota(OTHER, context.other_quota)
     context.quota_fleet.offer(OTHER, rate * share, context.for_s)
 
 
 @when(
-    "after {after_s:g} seconds its keeper {fails}, and is back {for_s:g} seconds later"
+    "after {after_s:g} seconds its owner {fails}, and is back {for_s:g} seconds later"
 )
-def step_keeper_fails(context, after_s, fails, for_s):
+def step_owner_fails(context, after_s, fails, for_s):
     fleet = context.quota_fleet
-    keeper = fleet.keeper_of(TEAM)[0]
-    address = keeper.record.address
+    owner = fleet.owners_of(TEAM)[0]
+    address = owner.record.address
     fleet.run(after_s)
-    if fails == "dies":
-        keeper.is_up = False
+    if fails == "crashes":
+        owner.is_up = False
         fleet.run(for_s)
-        keeper.start()
+        owner.start()
     elif fails == "is cut off":
         fleet.net.cut.add(address)
         fleet.run(for_s)
@@ -131,77 +136,79 @@
 
 
 @when(
-    "after {after_s:g} seconds all instances start again and know each other "
+    "after {after_s:g} seconds all instances restart and know each other "
     "{known_s:g} second later"
 )
 def step_all_restart(context, after_s, known_s):
     fleet = context.quota_fleet
     fleet.run(after_s)
-    for side in fleet.sides.values():
-        side.start()
-        side.is_list_known = False
-        side.own_records = (side.record,)
+    for instance in fleet.instances.values():
+        instance.start()
+        instance.is_list_known = False
+        instance.known_records = (instance.record,)
     fleet.run(known_s)
-    for side in fleet.sides.values():
-        side.is_list_known = True
-        side.own_records = None
+    for instance in fleet.instances.values():
+        instance.is_list_known = True
+        instance.known_records = None
 
 
 @when(
-    "after {after_s:g} seconds they learn of all instances within {within_s:g} seconds"
+    "after {after_s:g} seconds the instances discover the whole fleet within "
+    "{within_s:g} seconds"
 )
-def step_learn(context, after_s, within_s):
+def step_discover(context, after_s, within_s):
     fleet = context.quota_fleet
     fleet.run(after_s)
-    sides = list(fleet.sides.values())
-    for side in sides:
-        side.own_records = None
-        fleet.run(within_s / len(sides))
+    instances = list(fleet.instances.values())
+    for instance in instances:
+        instance.known_records = None
+        fleet.run(within_s / len(instances))
 
 
 @when(
-    "after {after_s:g} seconds its quota is lowered to {rate:d}, which its keeper does "
-    "not hear"
+    "after {after_s:g} seconds its quota is lowered to {rate:d}, unknown to its owner"
 )
 def step_lowered(context, after_s, rate):
     fleet = context.quota_fleet
     fleet.run(after_s)
-    keeper = fleet.keeper_of(TEAM)[0]
-    context.quota = tokens(rate)
+    owner = fleet.owners_of(TEAM)[0]
+    context.quota = token_quota(rate)
     context.changed_s = fleet.clock()
-    fleet.set_quota(TEAM, context.quota, lambda side: side is not keeper)
+    fleet.set_quota(TEAM, context.quota, lambda instance: instance is not owner)
 
 
 @when("after {after_s:g} seconds its quota becomes {rate:d}")
 def step_becomes(context, after_s, rate):
     context.quota_fleet.run(after_s)
     context.changed_s = context.quota_fleet.clock()
-    context.quota_fleet.set_quota(TEAM, tokens(rate) if rate else None)
+    context.quota_fleet.set_quota(TEAM, token_quota(rate) if rate else None)
 
 
-@when("a request of {cost:d} tokens comes")
-def step_large(context, cost):
+@when("a request of {cost:d} tokens arrives")
+def step_request(context, cost):
     fleet = context.quota_fleet
     fleet.run(SETTLE_S)
-    fleet.request(TEAM, "i1", cost)
+    fleet.send_request(TEAM, "i1", cost)
     fleet.run(0.05)
 
 
-@when("a request without its tokens comes")
-def step_plain(context):
+@when("a request without a token count arrives")
+def step_request_uncounted(context):
     fleet = context.quota_fleet
     traits = TeamTraits(TEAM, quota=context.quota)
-    context.grant = fleet.sides["i1"].quotas.acquire(traits, None, 2, "r")
+    context.grant = fleet.instances["i1"].quotas.acquire(traits, None, 2, "r")
 
 
-@when("a request of {cost:d} tokens is let through, does not run and is given back")
-def step_given_back(context, cost):
+@when(
+    "a request of {cost:d} tokens is admitted, does not run and its quota is refunded"
+)
+def step_refunded(context, cost):
     fleet = context.quota_fleet
     traits = TeamTraits(TEAM, quota=context.quota)
-    keeper = fleet.keeper_of(TEAM)[0].record.name
-    (name, *_) = [n for n in fleet.sides if n != keeper]
-    quotas = fleet.sides[name].quotas
-    # The first question makes the bucket known; it fills meanwhile.
+    owner = fleet.owners_of(TEAM)[0].record.name
+    (name, *_) = [n for n in fleet.instances if n != owner]
+    quotas = fleet.instances[name].quotas
+    # The first lease request creates the bucket, which then fills.
     quotas.acquire(traits, 1, 2, "r0")
     fleet.run(SETTLE_S)
     quotas.refund(quotas.acquire(traits, cost, 2, "r"))
@@ -212,8 +219,8 @@
     context.quota_fleet.run(for_s)
 
 
-@when('a request says that it uses "{text}" tokens')
-def step_unreadable(context, text):
+@when('a request declares "{text}" tokens')
+def step_malformed_count(context, text):
     fields = [(b"X-Request-Id", b"r"), (b"X-Token-Usage", text.encode())]
     request = Request(b"POST", b"/x", Headers(fields), b"", True, 0.0)
     try:
@@ -223,13 +230,13 @@
         context.malformed = error
 
 
-@then("it is answered 400 and nothing is taken")
+@then("it is answered 400 and no quota is charged")
 def step_malformed(context):
-    # The handler answers 400 to every such error, before it takes of a quota.
+    # The handler answers every such error with 400, before it acquires quota.
     assert "X-Token-Usage" in str(context.malformed), context.malformed
 
 
-@then("none was refused for which the quota left room")
+@then("no request was refused although the quota left room for it")
 def step_none_refused(context):
     _finish(context)
     assert len(context.quota_fleet.granted(TEAM)) > 20
@@ -237,19 +244,22 @@
     assert not refused, len(refused)
 
 
-@then("none of the other team was refused for which its quota left room")
-def step_other_untouched(context):
+@then("no request of the other team was refused although its quota left room for it")
+def step_other_not_refused(context):
     assert context.quota_fleet.granted(OTHER)
     refused = context.quota_fleet.refused_below(OTHER, context.other_quota)
     assert not refused, len(refused)
 
 
-@then("at most {most:d} in {of:d} was refused for which the quota left room")
+@then(
+    "at most {most:d} in {of:d} requests were refused although the quota left room "
+    "for them"
+)
 def step_few_refused(context, most, of):
     _finish(context)
     fleet = context.quota_fleet
     refused = fleet.refused_below(TEAM, context.quota)
-    share = len(refused) / len(fleet.taken[TEAM])
+    share = len(refused) / len(fleet.requests[TEAM])
     assert share <= most / of, share
 
 
@@ -258,47 +268,50 @@
     "{tail_ms:g} ms"
 )
 def step_took(context, median_ms, tail_ms):
-    took_ms = sorted(t.took_s * 1000 for t in context.quota_fleet.granted(TEAM))
+    took_ms = sorted(r.took_s * 1000 for r in context.quota_fleet.granted(TEAM))
     assert statistics.median(took_ms) <= median_ms, statistics.median(took_ms)
     tail = took_ms[int(len(took_ms) * 0.99)]
     assert tail <= tail_ms, tail
 
 
-@then("no window holds more of the team than the rule allows")
-def step_rule(context):
+@then("no window exceeds the team's quota by more than the tolerance")
+def step_within_tolerance(context):
     _finish(context)
-    worst = context.quota_fleet.worst_window(TEAM)
+    most = context.quota_fleet.most_in_window(TEAM)
     allowed = allowed_in_window(context.quota)
-    assert worst <= allowed, (worst, allowed)
+    assert most <= allowed, (most, allowed)
 
 
-@then("no window that begins a second later holds more than {rate:d} a second allows")
-def step_rule_lowered(context, rate):
+@then(
+    "no window that begins a second later exceeds {rate:d} tokens a second by more "
+    "than the tolerance"
+)
+def step_within_lowered_quota(context, rate):
     _finish(context)
-    worst = context.quota_fleet.worst_window(TEAM, context.changed_s + 1.0)
-    assert 0 < worst <= allowed_in_window(tokens(rate)), worst
+    most = context.quota_fleet.most_in_window(TEAM, context.changed_s + 1.0)
+    assert 0 < most <= allowed_in_window(token_quota(rate)), most
 
 
-@then("the team got at least {share:g} of its quota")
-def step_got(context, share):
+@then("the team was granted at least {share:g} of its quota")
+def step_granted_share(context, share):
     _finish(context)
-    _, got = context.quota_fleet.granted_tokens(TEAM)
+    _, within_quota = context.quota_fleet.granted_tokens(TEAM)
     quota = context.quota.rate_per_s * context.for_s
-    assert got >= share * quota, got / quota
+    assert within_quota >= share * quota, within_quota / quota
 
 
-@then("from a second later on it got about {rate:d} tokens a second")
-def step_got_rate(context, rate):
+@then("from a second later on it was granted about {rate:d} tokens a second")
+def step_granted_rate(context, rate):
     _finish(context)
     from_s = context.changed_s + 1.0
-    spent_s = context.since_s + context.for_s - from_s
-    _, within = context.quota_fleet.granted_tokens(TEAM, from_s)
-    got = within / spent_s
-    assert 0.8 * rate <= got <= 1.25 * rate, got
+    elapsed_s = context.since_s + context.for_s - from_s
+    _, within_quota = context.quota_fleet.granted_tokens(TEAM, from_s)
+    granted_per_s = within_quota / elapsed_s
+    assert 0.8 * rate <= granted_per_s <= 1.25 * rate, granted_per_s
 
 
-@then("about {count:d} requests a second of it were let through")
-def step_requests(context, count):
+@then("about {count:d} requests a second were admitted")
+def step_admitted_requests(context, count):
     _finish(context)
     granted = len(context.quota_fleet.granted(TEAM))
     burst = context.quota.burst
@@ -308,45 +321,45 @@
 @then("the busiest instance sent and received at most {most_kb:g} kB a second for it")
 def step_busiest(context, most_kb):
     _finish(context)
-    used = context.quota_fleet.net.bytes_by_address
-    busiest_kb = max(used.values()) / context.for_s / 1000
+    sizes = context.quota_fleet.net.bytes_by_address
+    busiest_kb = max(sizes.values()) / context.for_s / 1000
     assert busiest_kb <= most_kb, busiest_kb
 
 
-@then("it is let through")
-def step_let_through(context):
+@then("it is admitted")
+def step_admitted(context):
     assert context.quota_fleet.granted(TEAM)
 
 
-@then(
-    "what comes right after it is refused, to come back after about {after_s:g} seconds"
-)
-def step_refused_after(context, after_s):
+@then("the next request is refused with a retry delay of about {after_s:g} seconds")
+def step_next_refused(context, after_s):
     fleet = context.quota_fleet
-    fleet.request(TEAM, "i2", 875)
+    fleet.send_request(TEAM, "i2", 875)
     fleet.run(0.05)
     (refused,) = fleet.refused(TEAM)
     assert abs(refused.retry_after_s - after_s) < 0.15, refused
 
 
-@then("it took {amount:d} tokens of the quota")
-def step_amount(context, amount):
+@then("it was charged {amount:d} tokens")
+def step_charged(context, amount):
     assert context.grant.amount == amount
 
 
-@then("the keeper has all of the quota again")
+@then("the owner's token bucket is full again")
 def step_full(context):
     fleet = context.quota_fleet
     fleet.net.run_until(fleet.clock())
-    keeper = fleet.keeper_of(TEAM)[0].quotas.allocator
-    (kept,) = keeper._kept.values()
-    assert kept.bucket.level(fleet.clock()) == context.quota.burst
+    allocator = fleet.owners_of(TEAM)[0].quotas.allocator
+    (owned,) = allocator._shards.values()
+    assert owned.bucket.level(fleet.clock()) == context.quota.burst
 
 
-@then("the team got more than its quota, where nobody waits for it")
-def step_got_more(context):
+@then("the team was also granted requests beyond its quota")
+def step_granted_excess(context):
     _finish(context)
-    got, within = context.quota_fleet.granted_tokens(TEAM)
-    beyond = (got - within) / context.for_s
+    granted, within_quota = context.quota_fleet.granted_tokens(TEAM)
+    granted_excess_per_s = (granted - within_quota) / context.for_s
     rate = context.quota.rate_per_s
-    assert beyond >= 0.2 * TOLERANCE.rate_beyond(LimitInForce(1, rate, rate)), beyond
+    assert granted_excess_per_s >= 0.2 * TOLERANCE.excess_per_s(
+        VersionedLimit(1, rate, rate)
+    ), granted_excess_per_s
--- a/features/steps/quota_world.py
+++ b/features/steps/quota_world.py
@@ -1,4 +1,4 @@
-"""A fleet that keeps teams within their quotas, in modelled time."""
+"""A simulated fleet that enforces team quotas."""
 
 import bisect
 import random
@@ -22,34 +22,35 @@
 from kumquatseam.routes import RouteTable, TeamQuota, TeamTraits
 
 CODEC = MessageCodec("datagram", DATAGRAM_KINDS, is_compact=True)
-#: the rule: in each window of so many seconds no more than the quota's rate and
-#: burst, a tenth over, and a slack.
+#: the tolerance: in each window, the quota's rate and burst may be exceeded by a tenth
+#: and by the slack.
 WINDOW_S = 8.0
-OVER = 0.1
-SLACK = 110_000
-TOLERANCE = QuotaTolerance(WINDOW_S, OVER, SLACK)
-#: what requests of a team take, in tokens, and how often: long and short ones.
+EXCESS_RATIO = 0.1
+SLACK_TOKENS = 110_000
+TOLERANCE = QuotaTolerance(WINDOW_S, EXCESS_RATIO, SLACK_TOKENS)
+#: costs of long and short requests, in tokens, and their share of the requests.
 COSTS = ((9_200, 0.42), (875, 0.58))
 MEAN_COST = sum(cost * share for cost, share in COSTS)
-#: round trips between instances take so long at most.
-DELAY_S = 0.003
+#: longest round trip between instances.
+MAX_DELAY_S = 0.003
 
 
 @attrs.define
-class Taken:
+class TeamRequest:
     """A request of a team.
 
-    :param at_s: when it came.
-    :param side: the instance that it came to.
-    :param cost: what it takes.
-    :param is_granted: whether it was let through; ``None`` while it waits.
-    :param is_over: it was, if nobody has to wait for it.
+    :param at_s: when it arrived.
+    :param instance: the instance that it arrived at.
+    :param cost: its cost in tokens.
+    :param is_granted: whether it was admitted; ``None`` while undecided.
+    :param is_over: whether it was admitted over the quota, to run only if it delays
+        no other request.
     :param took_s: how long the decision took.
-    :param retry_after_s: when a refused one was told to come back.
+    :param retry_after_s: the retry delay, if it was refused.
     """
 
     at_s: float
-    side: str
+    instance: str
     cost: int
     is_granted: bool | None = None
     is_over: bool = False
@@ -57,22 +58,22 @@
     retry_after_s: float = 0.0
 
 
-class Side:
-    """One instance."""
+class SimulatedInstance:
+    """One instance of the fleet."""
 
     def __init__(self, fleet, record):
         self.fleet = fleet
         self.record = record
-        #: the configuration known here; that of the fleet unless set.
-        self.own_table = None
-        #: the instances known here; all of them unless set.
-        self.own_records = None
+        #: the configuration known to this instance; ``None`` means the fleet's.
+        self.known_table = None
+        #: the instances known to this instance; ``None`` means all.
+        self.known_records = None
         self.is_list_known = True
         self.start()
 
     @property
     def table(self):
-        return self.own_table or self.fleet.table
+        return self.known_table or self.fleet.table
 
     def start(self):
         fleet = self.fleet
@@ -81,7 +82,7 @@
         self.quotas = TeamQuotas(
             QuotaParts(
                 self.record.name,
-                lambda: self.own_records or fleet.records,
+                lambda: self.known_records or fleet.records,
                 self.link,
                 lambda: self.table,
                 fleet.tolerance,
@@ -93,46 +94,46 @@
 
 
 class QuotaFleet:
-    """Instances that share the quotas of teams."""
+    """Instances that enforce team quotas together."""
 
     def __init__(self, count, seed=1, tolerance=TOLERANCE):
         self.tolerance = tolerance
         self.clock = Clock()
         self.draw = random.Random(seed)
         self.net = FiberNet(self.clock, self.draw, CODEC)
-        self.net.longest_delay_s = DELAY_S
+        self.net.longest_delay_s = MAX_DELAY_S
         self.table = RouteTable(1)
         self.records = tuple(
             InstanceRecord(f"i{n}", f"10.0.{n // 250}.{n % 250}:1", "", 10.0)
             for n in range(count)
         )
-        self.sides = {r.name: Side(self, r) for r in self.records}
-        self.net.sides = {s.record.address: s for s in self.sides.values()}
-        self.taken = {}
-        #: requests that were refused once and came when they were told to.
-        self.came_back = []
+        self.instances = {r.name: SimulatedInstance(self, r) for r in self.records}
+        self.net.sides = {i.record.address: i for i in self.instances.values()}
+        self.requests = {}
+        #: refused requests that were sent again after their retry delay.
+        self.retried = []
         self._sweep()
 
-    def set_quota(self, team, quota, is_known_to=lambda side: True):
-        """Put a configuration in force that gives a team a quota."""
+    def set_quota(self, team, quota, is_known_to=lambda instance: True):
+        """Set a team's quota in a new configuration version."""
         before = self.table
         others = [t for t in before.teams if t.name != team]
         teams = (*others, TeamTraits(team, quota=quota))
         self.table = RouteTable(before.version + 1, teams=teams)
-        for side in self.sides.values():
-            if not is_known_to(side):
-                side.own_table = side.own_table or before
+        for instance in self.instances.values():
+            if not is_known_to(instance):
+                instance.known_table = instance.known_table or before
 
-    def keeper_of(self, team):
-        """Return the first choice for keeping a team's quota."""
+    def owners_of(self, team):
+        """Return the candidates for owner of a team's quota, in order."""
         order = RendezvousOrder(lambda: self.records)
-        return [self.sides[r.name] for r in order.of(QuotaShard(team).key)]
+        return [self.instances[r.name] for r in order.of(QuotaShard(team).key)]
 
     # Load.
 
-    def offer(self, team, tokens_per_s, for_s, names=None, is_obedient=False):
-        """Let a team's requests come at random, in all or some instances."""
-        names = names or list(self.sides)
+    def offer(self, team, tokens_per_s, for_s, names=None, obeys_retry_delay=False):
+        """Schedule a team's requests at random times, at all or some instances."""
+        names = names or list(self.instances)
         at_s, end_s = self.clock(), self.clock() + for_s
         while True:
             at_s += self.draw.expovariate(tokens_per_s / MEAN_COST)
@@ -143,102 +144,112 @@
             )
             name = self.draw.choice(names)
             delay_s = at_s - self.clock()
-            self.net.call_later(delay_s, self.request, team, name, cost, is_obedient)
+            self.net.call_later(
+                delay_s, self.send_request, team, name, cost, obeys_retry_delay
+            )
 
-    def request(self, team, name, cost, is_obedient=False, is_repeat=False):
-        side = self.sides[name]
-        if side.is_up and side.record.address not in self.net.cut:
-            self.net.spawn(self._request, team, side, cost, is_obedient, is_repeat)
+    def send_request(self, team, name, cost, obeys_retry_delay=False, is_repeat=False):
+        instance = self.instances[name]
+        if instance.is_up and instance.record.address not in self.net.cut:
+            self.net.spawn(
+                self._request, team, instance, cost, obeys_retry_delay, is_repeat
+            )
 
-    def _request(self, team, side, cost, is_obedient, is_repeat):
-        taken = Taken(self.clock(), side.record.name, cost)
-        self.taken.setdefault(team, []).append(taken)
+    def _request(self, team, instance, cost, obeys_retry_delay, is_repeat):
+        request = TeamRequest(self.clock(), instance.record.name, cost)
+        self.requests.setdefault(team, []).append(request)
         if is_repeat:
-            self.came_back.append(taken)
-        table = side.table
+            self.retried.append(request)
+        table = instance.table
         (traits,) = [t for t in table.teams if t.name == team] or [TeamTraits(team)]
         try:
-            grant = side.quotas.acquire(traits, cost, table.version, "r")
-            taken.is_granted = True
-            taken.is_over = grant is not None and grant.is_over
+            grant = instance.quotas.acquire(traits, cost, table.version, "r")
+            request.is_granted = True
+            request.is_over = grant is not None and grant.is_over
         except QuotaExceededError as error:
-            taken.is_granted = False
-            taken.retry_after_s = error.retry_after_s
-            if is_obedient and not is_repeat:
-                name = self.draw.choice(list(self.sides))
-                back = (team, name, cost, True, True)
-                self.net.call_later(error.retry_after_s, self.request, *back)
-        taken.took_s = self.clock() - taken.at_s
+            request.is_granted = False
+            request.retry_after_s = error.retry_after_s
+            if obeys_retry_delay and not is_repeat:
+                name = self.draw.choice(list(self.instances))
+                retry = (team, name, cost, True, True)
+                self.net.call_later(error.retry_after_s, self.send_request, *retry)
+        request.took_s = self.clock() - request.at_s
 
     def _sweep(self):
-        for side in self.sides.values():
-            if side.is_up:
-                side.quotas.sweep()
+        for instance in self.instances.values():
+            if instance.is_up:
+                instance.quotas.sweep()
         self.net.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def run(self, for_s):
         self.net.run_until(self.clock() + for_s)
 
-    # What came of it.
+    # Results.
 
     def granted(self, team, from_s=0.0):
-        return [t for t in self.taken.get(team, ()) if t.is_granted and t.at_s > from_s]
+        return [
+            r for r in self.requests.get(team, ()) if r.is_granted and r.at_s > from_s
+        ]
 
     def refused(self, team, from_s=0.0):
         return [
-            t
-            for t in self.taken.get(team, ())
-            if t.is_granted is False and t.at_s > from_s
+            r
+            for r in self.requests.get(team, ())
+            if r.is_granted is False and r.at_s > from_s
         ]
 
     def granted_tokens(self, team, from_s=0.0):
-        """Return what was let through, and of that what lies within the quota."""
+        """Return the tokens granted in total, and those granted within the quota."""
         granted = self.granted(team, from_s)
-        within = sum(t.cost for t in granted if not t.is_over)
-        return sum(t.cost for t in granted), within
+        within_quota = sum(r.cost for r in granted if not r.is_over)
+        return sum(r.cost for r in granted), within_quota
 
     def refused_below(self, team, quota):
-        """Return the requests refused although what ran left room for them.
+        """Return the requests refused although the quota left room for them.
 
-        Room is what an exact bucket has left after what was let through.
+        The room is the level of one exact token bucket charged with the granted
+        requests of the whole fleet.
         """
         level, at_s, found = quota.burst, 0.0, []
-        for t in sorted(self.taken.get(team, ()), key=lambda t: t.at_s):
-            level = min(quota.burst, level + (t.at_s - at_s) * quota.rate_per_s)
-            at_s = t.at_s
-            if t.is_granted:
-                level -= t.cost
-            if level >= t.cost and (t.is_over or not t.is_granted):
-                found.append(t)
+        for r in sorted(self.requests.get(team, ()), key=lambda r: r.at_s):
+            level = min(quota.burst, level + (r.at_s - at_s) * quota.rate_per_s)
+            at_s = r.at_s
+            if r.is_granted:
+                level -= r.cost
+            if level >= r.cost and (r.is_over or not r.is_granted):
+                found.append(r)
         return found
 
-    def worst_window(self, team, from_s=0.0):
-        """Return the most that was let through in any window."""
-        granted = sorted(self.granted(team, from_s), key=lambda t: t.at_s)
-        times = [t.at_s for t in granted]
+    def most_in_window(self, team, from_s=0.0):
+        """Return the most tokens granted in any window."""
+        granted = sorted(self.granted(team, from_s), key=lambda r: r.at_s)
+        times = [r.at_s for r in granted]
         sums = [0]
-        for t in granted:
-            sums.append(sums[-1] + t.cost)
+        for r in granted:
+            sums.append(sums[-1] + r.cost)
         return max(
             (
-                sums[bisect.bisect_left(times, t.at_s + WINDOW_S)] - sums[i]
-                for i, t in enumerate(granted)
+                sums[bisect.bisect_left(times, r.at_s + WINDOW_S)] - sums[i]
+                for i, r in enumerate(granted)
             ),
             default=0,
         )
 
 
 def allowed_in_window(quota):
-    """Return what the rule allows a team in any window."""
-    return (quota.rate_per_s * WINDOW_S + quota.burst) * (1 + OVER) + SLACK
+    """Return the most tokens that a team may be granted in any window."""
+    return (quota.rate_per_s * WINDOW_S + quota.burst) * (
+        1 + EXCESS_RATIO
+    ) + SLACK_TOKENS
 
 
-def tokens(rate_per_s, burst=None):
+def token_quota(rate_per_s, burst=None):
+    """Return a quota in tokens."""
     burst = rate_per_s if burst is None else burst
     return TeamQuota(rate_per_s, burst, is_token_based=True, default_tokens=200)
 
 
 def single_instance_quotas():
-    """Return the quotas of an instance without others."""
+    """Return the quotas of a fleet of one instance."""
     records = (InstanceRecord("alone", "127.0.0.1:1"),)
     return TeamQuotas(QuotaParts("alone", lambda: records, NoDatagrams(), lambda: None))
--- a/src/kumquatseam/admission/__init__.py
+++ b/src/kumquatseam/admission/__init__.py
@@ -1,12 +1,12 @@
-"""Limits that protect teams and back ends from each other.
+"""Admission limits that protect teams and upstreams from each other.
 
-- :class:`RetryBudget` bounds retries to a share of requests.
-- :class:`TokenBucket` bounds what is taken to a rate and a burst; ``quotas`` keeps
-  one a team for all instances.
-- :class:`kumquatseam.admission.team_limiter.TeamLimiter` bounds what a team has
-  running over the fleet; it is imported by itself, since only routers need it.
+- :class:`RetryBudget` limits retries to a share of the requests.
+- :class:`TokenBucket` limits consumption to a rate and a burst; ``quotas`` uses it
+  for fleet-wide quotas.
+- :class:`kumquatseam.admission.team_limiter.TeamLimiter` limits a team's concurrent
+  requests across the fleet. It is not exported here, since only routers need it.
 
-Shedding by priority class and upstream is part of the routing decision
+Load shedding by priority class and upstream is part of the routing decision
 (:class:`kumquatseam.routing.Router`), since it depends on the candidates.
 """
 
--- a/src/kumquatseam/admission/_retry_budget.py
+++ b/src/kumquatseam/admission/_retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget of retries: a share of the requests in a sliding window."""
+"""A retry budget: a share of the requests in a sliding window."""
 
 import collections
 import time
@@ -8,13 +8,15 @@
 
 
 class RetryBudget:
-    """Allows retries up to a share of requests plus a slack.
+    """Allows retries up to a share of the requests plus a slack.
 
-    A failing engine or a herd of restarts then multiplies the load on the
-    others by at most ``1 + ratio`` instead of by the number of attempts.
+    When an engine fails or many restart at once, retries multiply the load on the
+    other engines by at most ``1 + ratio``, plus the slack, instead of by the number
+    of attempts.
 
     :param settings: the ratio, the slack and the window.
-    :param count_routers: how many routers share the fleet-wide slack.
+    :param count_routers: returns the number of routers that share the slack, which
+        applies to the whole fleet.
     :param clock: monotonic clock in seconds.
     """
 
@@ -31,15 +33,15 @@
         self._retries: collections.deque[float] = collections.deque()
 
     @property
-    def spent(self) -> int:
-        """Retries taken in the window, as last looked at."""
+    def retries_in_window(self) -> int:
+        """Retries in the window, as of the last call of :meth:`try_acquire`."""
         return len(self._retries)
 
-    def note_request(self) -> None:
-        """Count a request a caller sent."""
+    def record_request(self) -> None:
+        """Count a caller's request, which enlarges the budget."""
         self._requests.append(self._clock())
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Return whether one more retry is allowed, and count it if so."""
         now_s = self._clock()
         oldest_s = now_s - self._settings.retry_window_s
--- a/src/kumquatseam/admission/_token_bucket.py
+++ b/src/kumquatseam/admission/_token_bucket.py
@@ -1,21 +1,21 @@
-"""A token bucket that lets each request begin while anything is left in it."""
+"""A token bucket that admits a request of any cost while it is not empty."""
 
-#: longest time after which a refused caller is told to come back.
+#: longest delay that a refused caller is given.
 MAX_WAIT_S = 5.0
 
 
 class TokenBucket:
-    """Bounds what is taken to a rate and a burst.
+    """Limits consumption to a rate and a burst.
 
-    A request may take more than is left, and the bucket is in debt afterwards.
-    So a request larger than the burst is served, large requests have the same
-    chance as small ones at a limit that is reached, and over any time no more is
-    taken than the rate, the burst and one request. Times are passed in.
+    A request may consume more than is left, which puts the bucket in debt. So
+    requests larger than the burst can run, large requests are refused no more often
+    than small ones at the limit, and over any period consumption is at most the
+    rate, the burst and one request. The caller passes in the current time.
 
-    :param rate_per_s: refills it.
-    :param burst: the most it holds.
-    :param level: what it holds at first.
-    :param now_s: the time at which it does.
+    :param rate_per_s: the refill rate.
+    :param burst: the capacity.
+    :param level: the initial level.
+    :param now_s: the current time.
     """
 
     def __init__(
@@ -25,44 +25,44 @@
         self.burst = burst
         self._level = min(level, burst)
         self._refused = 0.0
-        self._at_s = now_s
+        self._updated_s = now_s
 
     def level(self, now_s: float) -> float:
-        """Return what is left; below zero while it is in debt."""
+        """Return what is left; negative while the bucket is in debt."""
         self._refill(now_s)
         return self._level
 
-    def take(self, amount: float, now_s: float) -> bool:
-        """Take an amount if anything is left; return whether it was taken."""
+    def try_consume(self, amount: float, now_s: float) -> bool:
+        """Consume ``amount`` unless the bucket is empty; return whether it did."""
         self._refill(now_s)
         if self._level <= 0:
             return False
         self._level -= amount
         return True
 
-    def spend(self, amount: float, now_s: float) -> None:
-        """Take an amount whatever is left: it was let through elsewhere."""
+    def force_consume(self, amount: float, now_s: float) -> None:
+        """Consume ``amount`` at any level, for usage admitted elsewhere."""
         self._refill(now_s)
         self._level -= amount
 
-    def give_back(self, amount: float, now_s: float) -> None:
-        """Put back what was taken and not used."""
+    def refund(self, amount: float, now_s: float) -> None:
+        """Refill the bucket with a consumed amount that was not used."""
         self._refill(now_s)
         self._level = min(self.burst, self._level + amount)
 
     def resize(self, rate_per_s: float, burst: float, now_s: float) -> None:
-        """Change the limit; a lower one takes what lies above it at once."""
+        """Change rate and burst; a level above the new burst is cut at once."""
         self._refill(now_s)
         self._level += max(0.0, burst - self.burst)
         self.rate_per_s = rate_per_s
         self.burst = burst
         self._level = min(self._level, burst)
 
-    def refuse(self, amount: float, now_s: float) -> float:
-        """Return after how long a refused request may be taken.
+    def schedule_retry(self, amount: float, now_s: float) -> float:
+        """Return the delay in seconds after which to retry a refused request.
 
-        Those refused before it come back first: each is given the time at which
-        the bucket has refilled for it and for them.
+        Requests refused earlier retry first: the delay ends when the bucket has
+        refilled enough for them and for this request.
         """
         self._refill(now_s)
         if self.rate_per_s <= 0:
@@ -72,7 +72,7 @@
         return min(MAX_WAIT_S, max(0.0, wait_s) + amount / self.rate_per_s)
 
     def _refill(self, now_s: float) -> None:
-        gained = max(0.0, now_s - self._at_s) * self.rate_per_s
-        self._at_s = max(self._at_s, now_s)
+        gained = max(0.0, now_s - self._updated_s) * self.rate_per_s
+        self._updated_s = max(self._updated_s, now_s)
         self._level = min(self.burst, self._level + gained)
         self._refused = max(0.0, self._refused - gained)
--- a/src/kumquatseam/idempotency/__init__.py
+++ b/src/kumquatseam/idempotency/__init__.py
@@ -1,7 +1,7 @@
-"""At-most-once: claims on idempotency keys, kept in the log service.
+"""At-most-once execution by claims on idempotency keys, stored in the log service.
 
-:class:`ClaimLedger` records a claim before a request that must not be
-repeated is sent anywhere; the first claim in log order wins.
+:class:`ClaimLedger` records a claim before a request that must not run twice is sent
+anywhere. The first claim in log order wins.
 """
 
 from kumquatseam.idempotency._ledger import CLAIM_TOPIC, ClaimLedger
--- a/src/kumquatseam/idempotency/_ledger.py
+++ b/src/kumquatseam/idempotency/_ledger.py
@@ -1,9 +1,9 @@
-"""Recording claims in the log service, many per append.
+"""Recording claims in the log service, in batches.
 
-The log takes several hundred appends a second for the whole platform, so
-each router collects the claims that arrive within ``linger_s`` into one
-append. After the append it reads the topic up to and past its own record
-and looks who holds the key: the first claim in log order.
+The log service accepts several hundred appends per second for the whole platform, so
+each router batches the claims that arrive within ``linger_s`` into one append. After
+the append it reads the topic past its own record to find the holder of the key, the
+first claim in log order.
 """
 
 import uuid
@@ -32,14 +32,20 @@
 
 CLAIM_TOPIC = "kumquatseam.claims"
 LINGER_S = 0.005
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 RETRY_PAUSE_S = 0.1
-RELEASE_RETRY_S = 1.0
+RELEASE_WRITE_INTERVAL_S = 1.0
 
 
 @attrs.define
-class _Waiting:
-    record: Claim
+class _PendingClaim:
+    """A claim that is to be appended.
+
+    :param done: set when it is in the log or has failed.
+    :param failure: why it failed, if it did.
+    """
+
+    claim: Claim
     done: gevent.event.Event = attrs.Factory(gevent.event.Event)
     failure: str | None = None
 
@@ -48,8 +54,8 @@
     """Claims keys for requests that must run at most once.
 
     :param log: the log service.
-    :param linger_s: how long a claim waits for others to share its append.
-    :param sleep: pauses between attempts.
+    :param linger_s: how long a batch stays open for further claims.
+    :param sleep: waits between attempts.
     """
 
     def __init__(
@@ -63,19 +69,19 @@
         self._sleep = sleep
         self._table = ClaimTable()
         self._next_offset = 0
-        self._waiting: list[_Waiting] = []
-        self._releases: list[Release] = []
-        self._wake = gevent.event.Event()
+        self._pending_claims: list[_PendingClaim] = []
+        self._unwritten_releases: list[Release] = []
+        self._has_pending = gevent.event.Event()
         self._greenlet: gevent.Greenlet | None = None
-        self._release_loop = StepLoop(RELEASE_RETRY_S, self.write_releases)
+        self._release_loop = StepLoop(RELEASE_WRITE_INTERVAL_S, self.write_releases)
 
     def start(self) -> None:
-        """Begin appending."""
+        """Start the greenlets that append claims and releases."""
         self._greenlet = gevent.spawn(self._append_forever)
         self._release_loop.start()
 
     def close(self) -> None:
-        """Write the releases still owed, then stop."""
+        """Stop the greenlets and write the remaining releases."""
         if self._greenlet is not None:
             self._greenlet.kill()
             self._greenlet = None
@@ -87,13 +93,13 @@
 
         :returns: the claim, which now holds the key.
         :raises AlreadyClaimedError: if an earlier request holds the key.
-        :raises ClaimUnavailableError: if the log did not take the claim; it
-            is given up and the request must not run.
+        :raises ClaimUnavailableError: if the claim could not be recorded in the
+            log. It is released and the request must not run.
         """
         digest = xxhash.xxh3_128_hexdigest(f"{team}\x1f{key}".encode())
-        held = self._table.holder(digest)
-        if held is not None:
-            raise AlreadyClaimedError(key, held.request_id)
+        earlier = self._table.holder(digest)
+        if earlier is not None:
+            raise AlreadyClaimedError(key, earlier.request_id)
         claim = Claim(digest, uuid.uuid4().hex, request_id)
         failure = self._append(claim)
         if failure is not None:
@@ -103,57 +109,58 @@
         if holder is None or holder.claim_id != claim.claim_id:
             holder_id = holder.request_id if holder else "unknown"
             raise AlreadyClaimedError(key, holder_id)
-        _log.info("request={} holds claim={}.", request_id, claim.claim_id)
+        _log.info("Claim recorded: request={} claim={}.", request_id, claim.claim_id)
         return claim
 
     def release(self, claim: Claim) -> None:
-        """Give up a claim whose request provably never ran."""
+        """Release a claim whose request has not run and never will."""
         release = Release(claim.key, claim.claim_id)
         self._table.apply(release)
-        self._releases.append(release)
-        _log.info("request={} gave up claim={}.", claim.request_id, claim.claim_id)
+        self._unwritten_releases.append(release)
+        _log.info(
+            "Claim released: request={} claim={}.", claim.request_id, claim.claim_id
+        )
 
     def write_releases(self) -> None:
-        """Write the releases owed; those the log does not take stay owed."""
-        owed = list(self._releases)
-        if not owed:
+        """Append the unwritten releases; keep them for a retry if that fails."""
+        releases = list(self._unwritten_releases)
+        if not releases:
             return
         try:
-            payloads = [CLAIM_CODEC.encode(release) for release in owed]
+            payloads = [CLAIM_CODEC.encode(release) for release in releases]
             self._log_service.append(CLAIM_TOPIC, payloads)
         except LogServiceError as error:
-            _log.warning("{} releases stay owed: {}.", len(owed), error)
+            _log.warning("Writing {} releases failed: {}.", len(releases), error)
             return
-        self._releases = self._releases[len(owed) :]
+        self._unwritten_releases = self._unwritten_releases[len(releases) :]
 
     def _append(self, claim: Claim) -> str | None:
-        """Append ``claim`` with others; return why not, if not."""
-        waiting = _Waiting(claim)
+        """Append ``claim`` in a batch; return the reason if that fails."""
+        pending = _PendingClaim(claim)
         if self._greenlet is None:
-            self._append_batch([waiting])
-            return waiting.failure
-        self._waiting.append(waiting)
-        self._wake.set()
-        waiting.done.wait()
-        return waiting.failure
+            self._append_batch([pending])
+            return pending.failure
+        self._pending_claims.append(pending)
+        self._has_pending.set()
+        pending.done.wait()
+        return pending.failure
 
     def _append_forever(self) -> None:
         while True:
-            self._wake.wait()
+            self._has_pending.wait()
             gevent.sleep(self._linger_s)
-            self._wake.clear()
-            batch, self._waiting = self._waiting, []
+            self._has_pending.clear()
+            batch, self._pending_claims = self._pending_claims, []
             self._append_batch(batch)
 
-    def _append_batch(self, batch: list[_Waiting]) -> None:
-        """Append a batch until it is seen in the log, or give up.
+    def _append_batch(self, batch: list[_PendingClaim]) -> None:
+        """Append a batch, with retries, until its claims can be read from the log.
 
-        Appending again after a lost answer is safe: a claim counts once
-        however often it stands in the log.
+        A retry after a lost response is safe, since the table deduplicates claims.
         """
-        payloads = [CLAIM_CODEC.encode(waiting.record) for waiting in batch]
+        payloads = [CLAIM_CODEC.encode(pending.claim) for pending in batch]
         failure = None
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 self._sleep(RETRY_PAUSE_S * attempt)
             try:
@@ -162,38 +169,38 @@
             except LogServiceError as error:
                 failure = str(error)
             try:
-                self._catch_up()
+                self._read_new_records()
             except LogServiceError as error:
                 failure = str(error)
                 continue
-            if all(self._is_settled(waiting.record) for waiting in batch):
+            if all(self._is_key_held(pending.claim) for pending in batch):
                 failure = None
                 break
-        for waiting in batch:
-            waiting.failure = failure
-            waiting.done.set()
+        for pending in batch:
+            pending.failure = failure
+            pending.done.set()
 
-    def _is_settled(self, claim: Claim) -> bool:
-        """Return whether the log holds ``claim`` or one before it."""
+    def _is_key_held(self, claim: Claim) -> bool:
+        """Return whether ``claim`` or an earlier one for its key is in the log."""
         return self._table.holder(claim.key) is not None
 
-    def _catch_up(self) -> None:
-        """Fold the topic's new records into the table."""
+    def _read_new_records(self) -> None:
+        """Apply the topic's new records to the table."""
         try:
-            found = self._log_service.read(CLAIM_TOPIC, self._next_offset)
+            page = self._log_service.read(CLAIM_TOPIC, self._next_offset)
         except LogRecordsExpiredError as expired:
             self._next_offset = expired.first_offset
-            found = self._log_service.read(CLAIM_TOPIC, self._next_offset)
-        while found.records:
-            for record in found.records:
+            page = self._log_service.read(CLAIM_TOPIC, self._next_offset)
+        while page.records:
+            for record in page.records:
                 self._apply(record.payload)
                 self._next_offset = record.offset + 1
-            if self._next_offset >= found.end_offset:
+            if self._next_offset >= page.end_offset:
                 return
-            found = self._log_service.read(CLAIM_TOPIC, self._next_offset)
+            page = self._log_service.read(CLAIM_TOPIC, self._next_offset)
 
     def _apply(self, payload: bytes) -> None:
         try:
             self._table.apply(CLAIM_CODEC.decode(payload))
         except CodecError as error:
-            _log.warning("Skipped a record: {}.", error)
+            _log.warning("Skipped an unreadable claim record: {}.", error)
--- a/src/kumquatseam/idempotency/_records.py
+++ b/src/kumquatseam/idempotency/_records.py
@@ -1,4 +1,4 @@
-"""Claim records and the table they fold into."""
+"""Claim records and the table that is built from them."""
 
 import collections
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class Claim:
-    """A request's claim on a key.
+    """A request's claim on an idempotency key.
 
     :param key: digest of the team and the caller's key.
-    :param claim_id: unique; a claim appended twice counts once.
-    :param request_id: the request it is for.
+    :param claim_id: unique ID, by which repeated appends of a claim are deduplicated.
+    :param request_id: the request that made the claim.
     """
 
     key: str
@@ -23,10 +23,10 @@
 
 @attrs.frozen
 class Release:
-    """A claim given up: its request provably never ran and never will.
+    """Releases a claim whose request has not run and never will.
 
     :param key: the claim's key.
-    :param claim_id: the claim given up.
+    :param claim_id: the released claim.
     """
 
     key: str
@@ -37,12 +37,12 @@
 
 
 class ClaimTable:
-    """Which claim holds each key: the first not given up, in log order.
+    """The holder of each key: the first claim in log order that is not released.
 
-    A release counts wherever it stands, so a claim whose append takes effect
-    late, after it was given up, never holds its key.
+    A release counts at any position in the log, even before its claim. So a claim
+    whose append takes effect only after its release never holds the key.
 
-    :param capacity: keys remembered; the oldest go first.
+    :param capacity: number of keys and of releases retained; the oldest are evicted.
     """
 
     def __init__(self, capacity: int = 100_000) -> None:
@@ -53,15 +53,15 @@
         self._released: collections.OrderedDict[str, None] = collections.OrderedDict()
 
     def apply(self, record: Claim | Release) -> None:
-        """Take in the next record in log order."""
+        """Apply the next record in log order."""
         if isinstance(record, Release):
             self._released[record.claim_id] = None
-            self._trim(self._released)
+            self._evict_oldest(self._released)
             return
         claims = self._claims.setdefault(record.key, [])
         if all(claim.claim_id != record.claim_id for claim in claims):
             claims.append(record)
-        self._trim(self._claims)
+        self._evict_oldest(self._claims)
 
     def holder(self, key: str) -> Claim | None:
         """Return the claim that holds ``key``, if any."""
@@ -70,6 +70,6 @@
                 return claim
         return None
 
-    def _trim(self, table: collections.OrderedDict) -> None:
+    def _evict_oldest(self, table: collections.OrderedDict) -> None:
         while len(table) > self._capacity:
             table.popitem(last=False)
--- a/src/kumquatseam/quotas/__init__.py
+++ b/src/kumquatseam/quotas/__init__.py
@@ -1,28 +1,29 @@
-"""Keeping teams within their quotas over all instances.
+"""Enforcing team quotas across all instances.
 
-A quota holds for the whole fleet, and an instance of a large one sees about one
-request of a team a second. So each team has a keeper: the instance that comes
-first for it by rendezvous hashing keeps its bucket, and the others ask for what
-their requests need, with some more ahead where they see many. What is lent lapses
-soon and goes back. The next instance in order is told what was lent, and goes on
-from there if the keeper dies.
+A quota applies to the whole fleet, while an instance of a large fleet sees about
+one request of a team per second. So each quota has an owner, the first instance for
+it in rendezvous-hash order, which holds its token bucket. The other instances
+request short leases from the owner, larger than one request needs if they see many.
+The unused part of a lease is returned when it expires. The owner reports what it
+leased to the next instance in the order, which takes over if the owner fails. Where
+a message, log line or metric says ``keeper``, it means the owner.
 
-- :class:`TeamQuotas` takes what requests need, and gives back what did not run.
-- :class:`QuotaKeeper` decides what is lent of the quotas kept here.
-- :class:`QuotaExceededError` tells when to come back.
+- :class:`TeamQuotas` acquires quota for requests and refunds what did not run.
+- :class:`QuotaAllocator` grants leases from the quotas owned by this instance.
+- :class:`QuotaExceededError` says when to retry.
 """
 
+from kumquatseam.quotas._allocator import QuotaAllocator
 from kumquatseam.quotas._errors import QuotaExceededError
-from kumquatseam.quotas._keeper import QuotaKeeper
 from kumquatseam.quotas._messages import (
     DATAGRAM_KINDS,
-    LimitInForce,
-    QuotaAnswer,
-    QuotaQuestion,
-    QuotaReturned,
+    QuotaLeaseReply,
+    QuotaLeaseRequest,
+    QuotaLeaseReturn,
     QuotaShard,
-    QuotaSpent,
     QuotaTolerance,
+    QuotaUsageUpdate,
+    VersionedLimit,
 )
 from kumquatseam.quotas._teams import (
     SWEEP_INTERVAL_S,
@@ -34,16 +35,16 @@
 __all__ = [
     "DATAGRAM_KINDS",
     "SWEEP_INTERVAL_S",
-    "LimitInForce",
-    "QuotaAnswer",
+    "QuotaAllocator",
     "QuotaExceededError",
     "QuotaGrant",
-    "QuotaKeeper",
+    "QuotaLeaseReply",
+    "QuotaLeaseRequest",
+    "QuotaLeaseReturn",
     "QuotaParts",
-    "QuotaQuestion",
-    "QuotaReturned",
     "QuotaShard",
-    "QuotaSpent",
     "QuotaTolerance",
+    "QuotaUsageUpdate",
     "TeamQuotas",
+    "VersionedLimit",
 ]
--- a/src/kumquatseam/quotas/_errors.py
+++ b/src/kumquatseam/quotas/_errors.py
@@ -1,4 +1,4 @@
-"""A request beyond its team's quota."""
+"""The error for a request that exceeds its team's quota."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.define(frozen=True, eq=False)
 class QuotaExceededError(KumquatseamError):
-    """A team has used up its quota for now.
+    """A team has no quota left for a request.
 
     :param team: the team.
     :param cost: what the request needs, in requests or tokens.
-    :param rate_per_s: the team's quota a second.
-    :param retry_after_s: when to come back.
-    :param decided_by: the instance that keeps the quota.
+    :param rate_per_s: the team's rate limit.
+    :param retry_after_s: when the caller may retry.
+    :param decided_by: the instance that refused the request.
     """
 
     team: str
@@ -24,6 +24,7 @@
 
     def __str__(self) -> str:
         return (
-            f"quota: team {self.team!r} is over {self.rate_per_s:.0f} a second; "
-            f"the request needs {self.cost}; kept by {self.decided_by}"
+            f"quota: team {self.team!r} exceeds its quota of {self.rate_per_s:.0f} per "
+            f"second; the request needs {self.cost}; refused by instance "
+            f"{self.decided_by}"
         )
--- a/src/kumquatseam/quotas/_messages.py
+++ b/src/kumquatseam/quotas/_messages.py
@@ -1,15 +1,15 @@
-"""What instances ask and tell each other about quotas."""
+"""Messages that instances exchange about quotas."""
 
 import attrs
 
 
 @attrs.frozen
 class QuotaShard:
-    """The part of a team's quota that one instance keeps.
+    """The part of a team's quota that one instance owns.
 
     :param team: the team.
-    :param number: the part's number.
-    :param count: into how many parts the quota is divided.
+    :param number: the shard's index.
+    :param count: the number of shards that the quota is split into.
     """
 
     team: str
@@ -18,17 +18,17 @@
 
     @property
     def key(self) -> str:
-        """Names the shard for choosing its keeper."""
+        """The key hashed to choose the shard's owner."""
         return f"quota/{self.team}/{self.number}/{self.count}"
 
 
 @attrs.frozen
-class LimitInForce:
-    """A team's quota as of one configuration.
+class VersionedLimit:
+    """A team's quota in one configuration version.
 
-    :param version: the configuration's version; the higher one counts.
-    :param rate_per_s: requests or tokens a second.
-    :param burst: requests or tokens beyond that at once.
+    :param version: the configuration version; the highest one applies.
+    :param rate_per_s: requests or tokens per second.
+    :param burst: size of the token bucket, in requests or tokens.
     """
 
     version: int
@@ -37,36 +37,36 @@
 
 
 @attrs.frozen
-class QuotaQuestion:
-    """Asks the keeper of a quota for some of it.
-
-    :param number: names the question; the answer repeats it.
-    :param shard: the quota.
-    :param limit: the team's whole quota, as the asker knows it.
-    :param needed: what a request needs.
-    :param wanted: what further ones are likely to need.
-    :param unpaid: what the asker let through while no keeper answered.
+class QuotaLeaseRequest:
+    """Requests a lease from the owner of a shard.
+
+    :param number: the request's number, repeated in the reply.
+    :param shard: the shard.
+    :param limit: the team's whole quota, as the requesting instance knows it.
+    :param needed: what the caller's request costs.
+    :param wanted: additional quota that later requests will probably need.
+    :param unpaid: what the requesting instance admitted while no owner replied.
     """
 
     number: int
     shard: QuotaShard
-    limit: LimitInForce
+    limit: VersionedLimit
     needed: int
     wanted: int = 0
     unpaid: int = 0
 
 
 @attrs.frozen
-class QuotaAnswer:
-    """Lends some of a quota.
-
-    :param number: the question's.
-    :param lent: how much; 0 if nothing is left.
-    :param lease_ms: what is not used by then goes back.
-    :param wait_ms: if nothing is left, when to come back.
-    :param keeper: who decided.
-    :param is_over: it lies beyond the quota, within what the fleet may exceed it
-        by: the request may run if nobody has to wait for it.
+class QuotaLeaseReply:
+    """Grants or refuses a lease.
+
+    :param number: the number of the lease request.
+    :param lent: the amount granted; 0 if no quota is left.
+    :param lease_ms: how long the lease lasts; what is unused then must be returned.
+    :param wait_ms: if no quota is left, when to retry.
+    :param keeper: the instance that decided.
+    :param is_over: whether the amount exceeds the quota but not the tolerance: the
+        request may run only if it delays no other request.
     """
 
     number: int
@@ -79,58 +79,58 @@
 
 @attrs.frozen
 class QuotaTolerance:
-    """By how much all instances together may exceed a quota.
+    """How far the fleet may exceed a quota.
 
-    In each window no more may run than ``(rate * window + burst) * (1 + over)``
-    and ``slack`` more.
+    In any window, at most ``(rate * window + burst) * (1 + excess_ratio) + slack``
+    may run.
 
-    :param window_s: the window.
-    :param over: the share.
-    :param slack: requests or tokens, as the quota counts.
+    :param window_s: length of the window.
+    :param excess_ratio: allowed excess as a share of the quota.
+    :param slack: additional allowed excess, in requests or tokens.
     """
 
     window_s: float = 10.0
-    over: float = 0.0
+    excess_ratio: float = 0.0
     slack: float = 0.0
 
-    def rate_beyond(self, limit: LimitInForce) -> float:
-        """Return how much a second may run beyond a quota."""
-        within = limit.rate_per_s * self.window_s + limit.burst
-        return (self.over * within + self.slack) / self.window_s
+    def excess_per_s(self, limit: VersionedLimit) -> float:
+        """Return the rate that may run in excess of a quota."""
+        quota_in_window = limit.rate_per_s * self.window_s + limit.burst
+        return (self.excess_ratio * quota_in_window + self.slack) / self.window_s
 
 
 @attrs.frozen
-class QuotaSpent:
-    """Tells the instance that would follow the keeper what was lent.
+class QuotaUsageUpdate:
+    """Replicates a shard's usage to the instance that is next to own it.
 
-    :param shard: the quota.
+    :param shard: the shard.
     :param limit: the team's whole quota.
-    :param amount: how much was lent.
-    :param is_over: it lies beyond the quota.
+    :param amount: the amount leased or reported as used.
+    :param is_over: whether the amount exceeds the quota.
     """
 
     shard: QuotaShard
-    limit: LimitInForce
+    limit: VersionedLimit
     amount: int
     is_over: bool = False
 
 
 @attrs.frozen
-class QuotaReturned:
-    """Gives back what was lent and not used.
+class QuotaLeaseReturn:
+    """Returns the unused part of a lease.
 
-    :param shard: the quota.
-    :param amount: how much.
+    :param shard: the shard.
+    :param amount: the unused amount.
     """
 
     shard: QuotaShard
     amount: int
 
 
-#: messages over datagrams, by name on the wire.
+#: datagram messages by their kind on the wire.
 DATAGRAM_KINDS = {
-    "quota": QuotaQuestion,
-    "lent": QuotaAnswer,
-    "spent": QuotaSpent,
-    "returned": QuotaReturned,
+    "quota": QuotaLeaseRequest,
+    "lent": QuotaLeaseReply,
+    "spent": QuotaUsageUpdate,
+    "returned": QuotaLeaseReturn,
 }
--- a/src/kumquatseam/quotas/_teams.py
+++ b/src/kumquatseam/quotas/_teams.py
@@ -1,4 +1,4 @@
-"""Taking what requests need from their teams' quotas."""
+"""Acquiring quota for requests."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -15,47 +15,48 @@
     InstanceRecord,
     RendezvousOrder,
 )
+from kumquatseam.quotas._allocator import MIN_LEASE_S, QuotaAllocator
 from kumquatseam.quotas._errors import QuotaExceededError
-from kumquatseam.quotas._keeper import LEASE_S, QuotaKeeper
 from kumquatseam.quotas._messages import (
-    LimitInForce,
-    QuotaAnswer,
-    QuotaQuestion,
-    QuotaReturned,
+    QuotaLeaseReply,
+    QuotaLeaseRequest,
+    QuotaLeaseReturn,
     QuotaShard,
-    QuotaSpent,
     QuotaTolerance,
+    QuotaUsageUpdate,
+    VersionedLimit,
 )
 from kumquatseam.routes import RouteTable, TeamTraits
 
 _log = part_logger("quota")
 
-#: instances that ask one keeper at most; a larger fleet divides its quotas, so
-#: that what a keeper is asked does not grow with the fleet.
-INSTANCES_PER_KEEPER = 200
-#: parts of a divided quota that are asked before a request is refused: one part
-#: may be used up while others are not.
-SHARDS_ASKED = 2
-#: after the number of parts changed, instances that have not heard of it ask the
-#: keepers of before for this long; what is lent counts several times meanwhile.
-DIVIDING_S = 3.0
-DIVIDING_FACTOR = 4
-#: instances that share a quota, as long as it is not known how many there are.
-UNKNOWN_INSTANCES = 64
-#: time over which the use of a quota is counted.
-USED_OVER_S = 1.0
-#: seconds between two looks for what lapsed.
+#: instances that one owner serves at most. A larger fleet splits each quota into
+#: shards, so that an owner's load does not grow with the fleet.
+INSTANCES_PER_SHARD = 200
+#: shards tried before a request is refused, since one shard may be used up while
+#: others are not.
+MAX_SHARDS_TRIED = 2
+#: after the shard count changed, instances that do not know of it use the owners of
+#: the previous shards for up to this long. Meanwhile each grant is deducted
+#: ``RESHARDING_CHARGE_FACTOR`` times.
+RESHARDING_S = 3.0
+RESHARDING_CHARGE_FACTOR = 4
+#: assumed number of instances while the list of instances is not known.
+ASSUMED_INSTANCES = 64
+#: time over which the use of a quota is averaged.
+USAGE_WINDOW_S = 1.0
+#: interval at which expired leases are returned.
 SWEEP_INTERVAL_S = 0.25
 
 
 @attrs.frozen
 class QuotaGrant:
-    """What a request took of its team's quota.
+    """The quota acquired for a request.
 
     :param team: the team.
-    :param amount: how much.
-    :param is_over: it lies beyond the quota: the request may run if nobody has to
-        wait for it.
+    :param amount: the amount, in requests or tokens.
+    :param is_over: whether it exceeds the quota: the request may run only if it
+        delays no other request.
     """
 
     team: str
@@ -65,17 +66,17 @@
 
 @attrs.frozen
 class QuotaParts:
-    """What taking quotas needs.
+    """The dependencies of :class:`TeamQuotas`.
 
     :param name: this instance.
-    :param list_instances: returns every instance known.
+    :param list_instances: returns every known instance.
     :param link: carries messages between two instances.
     :param current_table: returns the configuration in force, if any.
-    :param tolerance: by how much all instances together may exceed a quota.
-    :param are_instances_known: whether the list of instances was read. Right after
-        a start each would take itself for the keeper of every quota.
+    :param tolerance: how far the fleet may exceed a quota.
+    :param are_instances_known: whether the list of instances has been read. Before
+        that, each instance would choose itself as the owner of every quota.
     :param clock: monotonic clock in seconds.
-    :param wait: waits until an event is set, for so many seconds at most.
+    :param wait: waits for an event, with a timeout in seconds.
     """
 
     name: str
@@ -89,39 +90,40 @@
 
 
 @attrs.define
-class _Credit:
-    """What this instance has of one team's quota.
-
-    :param version: the configuration that it was lent under.
-    :param shard: the quota it was lent of.
-    :param amount: what is left of it.
-    :param until_s: what is left then goes back.
-    :param used_per_s: what requests here took lately.
-    :param used_s: when that was counted.
-    :param unpaid: what was let through while no keeper answered.
-    :param alone: bounds that.
+class _LocalLease:
+    """The quota of one team that this instance holds on lease.
+
+    :param version: the configuration version that it was granted under.
+    :param shard: the shard that it was granted from.
+    :param amount: the unused amount.
+    :param expires_s: when the unused amount must be returned.
+    :param usage_per_s: recent usage by requests of this instance.
+    :param usage_updated_s: when ``usage_per_s`` was updated.
+    :param unreported: usage admitted while no owner replied, to be reported with the
+        next lease request.
+    :param fallback_bucket: limits the unreported usage.
     """
 
     version: int
     shard: QuotaShard
     amount: int = 0
-    until_s: float = 0.0
-    used_per_s: float = 0.0
-    used_s: float = 0.0
-    unpaid: int = 0
-    alone: TokenBucket | None = None
+    expires_s: float = 0.0
+    usage_per_s: float = 0.0
+    usage_updated_s: float = 0.0
+    unreported: int = 0
+    fallback_bucket: TokenBucket | None = None
 
-    def note_used(self, amount: int, now_s: float) -> None:
-        """Count what a request takes."""
-        left_share = max(0.0, 1.0 - (now_s - self.used_s) / USED_OVER_S)
-        self.used_per_s = self.used_per_s * left_share + amount / USED_OVER_S
-        self.used_s = now_s
+    def record_usage(self, amount: int, now_s: float) -> None:
+        """Add a request's cost to the recent usage."""
+        decay = max(0.0, 1.0 - (now_s - self.usage_updated_s) / USAGE_WINDOW_S)
+        self.usage_per_s = self.usage_per_s * decay + amount / USAGE_WINDOW_S
+        self.usage_updated_s = now_s
 
 
 class TeamQuotas:
-    """Takes what requests need, in one round trip or from what was lent before.
+    """Acquires quota for requests, from a lease held here or in one round trip.
 
-    :param parts: what it needs.
+    :param parts: the dependencies.
     """
 
     def __init__(self, parts: QuotaParts) -> None:
@@ -131,226 +133,238 @@
         self._link = parts.link
         self._are_instances_known = parts.are_instances_known
         self._clock = parts.clock
-        self.keeper = QuotaKeeper(
+        self.allocator = QuotaAllocator(
             parts.name, parts.current_table, parts.tolerance, parts.clock
         )
-        self.calls = DatagramCalls(parts.link, QuotaAnswer, parts.clock, parts.wait)
-        self._credits: dict[str, _Credit] = {}
-        self._shards: int | None = None
-        self._divided_s = float("-inf")
+        self.calls = DatagramCalls(parts.link, QuotaLeaseReply, parts.clock, parts.wait)
+        self._leases: dict[str, _LocalLease] = {}
+        self._shard_count: int | None = None
+        self._resharded_s = float("-inf")
         self.refused = 0
         self.decided_locally = 0
-        parts.link.on_message(QuotaQuestion, self._take_question)
-        parts.link.on_message(QuotaSpent, lambda m, _: self.keeper.note_spent(m))
-        parts.link.on_message(QuotaReturned, lambda m, _: self.keeper.note_returned(m))
+        parts.link.on_message(QuotaLeaseRequest, self._reply_to_request)
+        parts.link.on_message(
+            QuotaUsageUpdate, lambda m, _: self.allocator.apply_usage_update(m)
+        )
+        parts.link.on_message(
+            QuotaLeaseReturn, lambda m, _: self.allocator.apply_return(m)
+        )
 
-    def take(
+    def acquire(
         self, team: TeamTraits, tokens: int | None, version: int, request_id: str
     ) -> QuotaGrant | None:
-        """Take what a request needs of its team's quota.
+        """Deduct a request's cost from its team's quota.
 
-        :param tokens: the tokens that it says it uses; ``None`` if it does not.
-        :param version: the configuration that names the team.
-        :returns: ``None`` if the team has no quota, or the request takes nothing.
-        :raises QuotaExceededError: if nothing is left.
+        :param tokens: the request's declared number of tokens, if any.
+        :param version: the configuration version that ``team`` is from.
+        :returns: ``None`` if the team has no quota, or the request costs nothing.
+        :raises QuotaExceededError: if no quota is left.
         """
         quota = team.quota
         if quota is None:
             return None
-        limit = LimitInForce(version, quota.rate_per_s, quota.burst)
+        limit = VersionedLimit(version, quota.rate_per_s, quota.burst)
         cost = quota.cost(tokens)
         if cost <= 0:
             return None
-        credit = self._credit(team.name, version)
+        lease = self._lease_for(team.name, version)
         now_s = self._clock()
-        if credit.until_s <= now_s:
-            self._return(credit)
-        credit.note_used(cost, now_s)
+        if lease.expires_s <= now_s:
+            self._return(lease)
+        lease.record_usage(cost, now_s)
         is_over = False
-        if credit.amount < cost:
-            is_over = self._borrow(credit, limit, cost, request_id)
-        credit.amount -= cost
+        if lease.amount < cost:
+            is_over = self._extend(lease, limit, cost, request_id)
+        lease.amount -= cost
         return QuotaGrant(team.name, cost, is_over)
 
-    def give_back(self, grant: QuotaGrant) -> None:
-        """Put back what a request took that has not run."""
-        credit = self._credits.get(grant.team)
-        if credit is None:
+    def refund(self, grant: QuotaGrant) -> None:
+        """Return the quota of a request that did not run."""
+        lease = self._leases.get(grant.team)
+        if lease is None:
             return
         now_s = self._clock()
-        if credit.until_s <= now_s:
-            credit.until_s = now_s + LEASE_S
-        credit.amount += grant.amount
+        if lease.expires_s <= now_s:
+            lease.expires_s = now_s + MIN_LEASE_S
+        lease.amount += grant.amount
 
     def sweep(self) -> None:
-        """Give back what was lent and lapsed."""
+        """Return the unused amounts of expired leases."""
         now_s = self._clock()
-        for credit in self._credits.values():
-            if credit.amount > 0 and credit.until_s <= now_s:
-                self._return(credit)
+        for lease in self._leases.values():
+            if lease.amount > 0 and lease.expires_s <= now_s:
+                self._return(lease)
 
-    def _credit(self, team: str, version: int) -> _Credit:
-        """Return what there is of a team's quota, lent under ``version`` or later."""
+    def _lease_for(self, team: str, version: int) -> _LocalLease:
+        """Return the lease on a team's quota, granted under ``version`` or later."""
         count = self._count_shards()
-        credit = self._credits.get(team)
-        if credit is None:
-            shard = self._own_shard(team, count)
-            credit = self._credits[team] = _Credit(version, shard)
-        elif version > credit.version or credit.shard.count != count:
-            self._return(credit)
-            credit.version = max(version, credit.version)
-            credit.shard = self._own_shard(team, count)
-            credit.alone = None
-        return credit
+        lease = self._leases.get(team)
+        if lease is None:
+            shard = self._preferred_shard(team, count)
+            lease = self._leases[team] = _LocalLease(version, shard)
+        elif version > lease.version or lease.shard.count != count:
+            self._return(lease)
+            lease.version = max(version, lease.version)
+            lease.shard = self._preferred_shard(team, count)
+            lease.fallback_bucket = None
+        return lease
 
     def _count_shards(self) -> int:
-        """Return into how many parts quotas are divided."""
-        count = -(-len(self._list_instances()) // INSTANCES_PER_KEEPER)
-        if count != self._shards and self._are_instances_known():
-            if self._shards is not None:
-                self._divided_s = self._clock()
-            self._shards = count
+        """Return the number of shards per quota."""
+        count = -(-len(self._list_instances()) // INSTANCES_PER_SHARD)
+        if count != self._shard_count and self._are_instances_known():
+            if self._shard_count is not None:
+                self._resharded_s = self._clock()
+            self._shard_count = count
         return count
 
-    def _own_shard(self, team: str, count: int) -> QuotaShard:
-        """Return the part of a quota that this instance asks for first."""
+    def _preferred_shard(self, team: str, count: int) -> QuotaShard:
+        """Return the shard that this instance tries first."""
         digest = xxhash.xxh3_64_intdigest(f"{team}/{self._name}".encode())
         return QuotaShard(team, digest % count, count)
 
-    def _return(self, credit: _Credit) -> None:
-        amount, credit.amount = credit.amount, 0
+    def _return(self, lease: _LocalLease) -> None:
+        amount, lease.amount = lease.amount, 0
         if amount <= 0:
             return
-        returned = QuotaReturned(credit.shard, amount)
-        record = self._first_heard(credit.shard)
+        returned = QuotaLeaseReturn(lease.shard, amount)
+        record = self._find_owner(lease.shard)
         if record is None:
             return
         if record.name == self._name:
-            self.keeper.note_returned(returned)
+            self.allocator.apply_return(returned)
         else:
             self._link.send(record.address, returned)
 
-    def _first_heard(self, shard: QuotaShard) -> InstanceRecord | None:
+    def _find_owner(self, shard: QuotaShard) -> InstanceRecord | None:
+        """Return the first instance in the shard's order that is not unresponsive."""
         for record in self._order.of(shard.key):
             if not self.calls.silences.is_silent(record.name):
                 return record
         return None
 
-    def _borrow(
-        self, credit: _Credit, limit: LimitInForce, cost: int, request_id: str
+    def _extend(
+        self, lease: _LocalLease, limit: VersionedLimit, cost: int, request_id: str
     ) -> bool:
-        """Get what a request needs from a keeper.
+        """Extend a lease by what a request needs.
 
-        :returns: whether it lies beyond the quota.
-        :raises QuotaExceededError: if nothing is left.
+        :returns: whether the amount exceeds the quota.
+        :raises QuotaExceededError: if no quota is left.
         """
-        shard = credit.shard
-        answer = self._ask_shards(credit, limit, cost)
-        if answer is None:
-            answer = self._decide_alone(credit, limit, cost)
+        shard = lease.shard
+        reply = self._request_from_shards(lease, limit, cost)
+        if reply is None:
+            reply = self._decide_locally(lease, limit, cost)
         _log.bind(
             request=request_id,
             team=shard.team,
             version=limit.version,
             rate_per_s=limit.rate_per_s,
             needed=cost,
-            lent=answer.lent,
-            is_over=answer.is_over,
-            wait_s=answer.wait_ms / 1000.0,
-            keeper=answer.keeper,
+            lent=reply.lent,
+            is_over=reply.is_over,
+            wait_s=reply.wait_ms / 1000.0,
+            keeper=reply.keeper,
         ).debug("Quota asked for.")
-        if not answer.lent:
+        if not reply.lent:
             self.refused += 1
             raise QuotaExceededError(
                 shard.team,
                 cost,
                 limit.rate_per_s,
-                answer.wait_ms / 1000.0,
-                answer.keeper or self._name,
+                reply.wait_ms / 1000.0,
+                reply.keeper or self._name,
             )
-        credit.amount += answer.lent
-        credit.until_s = self._clock() + answer.lease_ms / 1000.0
-        return answer.is_over
+        lease.amount += reply.lent
+        lease.expires_s = self._clock() + reply.lease_ms / 1000.0
+        return reply.is_over
 
-    def _ask_shards(
-        self, credit: _Credit, limit: LimitInForce, cost: int
-    ) -> QuotaAnswer | None:
-        """Ask for a part of the quota, and for another one if it is used up.
+    def _request_from_shards(
+        self, lease: _LocalLease, limit: VersionedLimit, cost: int
+    ) -> QuotaLeaseReply | None:
+        """Request quota from the preferred shard, then from others if it is used up.
 
-        :returns: ``None`` if nobody answers, or it is not known who keeps it.
+        :returns: ``None`` if no owner replies, or the owners are not known.
         """
         if not self._are_instances_known():
             return None
-        shard = credit.shard
-        answer = None
-        for step in range(min(SHARDS_ASKED, shard.count)):
+        shard = lease.shard
+        reply = None
+        for step in range(min(MAX_SHARDS_TRIED, shard.count)):
             number = (shard.number + step) % shard.count
-            answer = self._ask(credit, attrs.evolve(shard, number=number), limit, cost)
-            if answer is None or answer.lent:
+            reply = self._request_from_shard(
+                lease, attrs.evolve(shard, number=number), limit, cost
+            )
+            if reply is None or reply.lent:
                 break
-        return answer
-
-    def _ask(
-        self, credit: _Credit, shard: QuotaShard, limit: LimitInForce, cost: int
-    ) -> QuotaAnswer | None:
-        """Return what the first instance in order that answers lends."""
-        ahead = credit.used_per_s * LEASE_S
-        unpaid, credit.unpaid = credit.unpaid, 0
+        return reply
+
+    def _request_from_shard(
+        self, lease: _LocalLease, shard: QuotaShard, limit: VersionedLimit, cost: int
+    ) -> QuotaLeaseReply | None:
+        """Return the reply of the first instance in the shard's order that replies."""
+        prefetch = lease.usage_per_s * MIN_LEASE_S
+        unreported, lease.unreported = lease.unreported, 0
         for record in self._order.of(shard.key):
-            question = QuotaQuestion(
+            request = QuotaLeaseRequest(
                 self.calls.next_number(),
                 shard,
                 limit,
                 cost,
-                # One request alone needs nothing ahead.
-                int(ahead) if ahead > cost else 0,
-                unpaid,
+                # An expected usage below one request does not need a prefetch.
+                int(prefetch) if prefetch > cost else 0,
+                unreported,
             )
             if record.name == self._name:
-                return self._serve(question)
-            answer = self.calls.ask(record, question)
-            if answer is not None:
-                return answer
-        credit.unpaid += unpaid
+                return self._decide_as_owner(request)
+            reply = self.calls.ask(record, request)
+            if reply is not None:
+                return reply
+        lease.unreported += unreported
         return None
 
-    def _decide_alone(
-        self, credit: _Credit, limit: LimitInForce, cost: int
-    ) -> QuotaAnswer:
-        """Decide by an equal share while no keeper answers.
+    def _decide_locally(
+        self, lease: _LocalLease, limit: VersionedLimit, cost: int
+    ) -> QuotaLeaseReply:
+        """Limit requests to this instance's equal share while no owner replies.
 
-        What is let through is told to the keeper later.
+        The admitted amount is reported to the owner later.
         """
         now_s = self._clock()
-        if credit.alone is None:
+        if lease.fallback_bucket is None:
             instances = len(self._list_instances())
             if not self._are_instances_known():
-                instances = max(instances, UNKNOWN_INSTANCES)
+                instances = max(instances, ASSUMED_INSTANCES)
             burst = limit.burst / instances
             rate_per_s = limit.rate_per_s / instances
-            # Enough for a first request, which leaves it in debt.
-            credit.alone = TokenBucket(rate_per_s, burst, 1.0, now_s)
+            # A level of 1 admits one request of any cost, which puts the bucket in
+            # debt.
+            lease.fallback_bucket = TokenBucket(rate_per_s, burst, 1.0, now_s)
         self.decided_locally += 1
-        if not credit.alone.take(cost, now_s):
-            wait_ms = int(credit.alone.refuse(cost, now_s) * 1000)
-            return QuotaAnswer(0, 0, wait_ms=wait_ms, keeper=self._name)
-        credit.unpaid += cost
-        return QuotaAnswer(0, cost, keeper=self._name)
+        if not lease.fallback_bucket.try_consume(cost, now_s):
+            wait_ms = int(lease.fallback_bucket.schedule_retry(cost, now_s) * 1000)
+            return QuotaLeaseReply(0, 0, wait_ms=wait_ms, keeper=self._name)
+        lease.unreported += cost
+        return QuotaLeaseReply(0, cost, keeper=self._name)
 
-    def _take_question(self, question: QuotaQuestion, sender: str) -> None:
-        self._link.send(sender, self._serve(question))
+    def _reply_to_request(self, request: QuotaLeaseRequest, sender: str) -> None:
+        self._link.send(sender, self._decide_as_owner(request))
 
-    def _serve(self, question: QuotaQuestion) -> QuotaAnswer:
-        """Answer a question, and tell the instance that would follow."""
+    def _decide_as_owner(self, request: QuotaLeaseRequest) -> QuotaLeaseReply:
+        """Decide on a lease request and report the usage to the next owner."""
         self._count_shards()
-        is_dividing = self._clock() - self._divided_s < DIVIDING_S
-        answer = self.keeper.decide(question, DIVIDING_FACTOR if is_dividing else 1)
-        amount = answer.lent + question.unpaid
+        is_resharding = self._clock() - self._resharded_s < RESHARDING_S
+        reply = self.allocator.decide(
+            request, RESHARDING_CHARGE_FACTOR if is_resharding else 1
+        )
+        amount = reply.lent + request.unpaid
         if amount:
-            spent = QuotaSpent(question.shard, question.limit, amount, answer.is_over)
-            choices = self._order.of(question.shard.key)
+            update = QuotaUsageUpdate(
+                request.shard, request.limit, amount, reply.is_over
+            )
+            choices = self._order.of(request.shard.key)
             for record in choices[:2]:
                 if record.name != self._name:
-                    self._link.send(record.address, spent)
+                    self._link.send(record.address, update)
                     break
-        return answer
+        return reply
