--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -123,7 +123,7 @@
     context.lease = DutyLease(MemoryLog(), "d", "me", 3.0, clock=context.clock)
     context.lease.step()
     assert context.lease.fence is not None
-    context.lease.give_up()
+    context.lease.step_down()
 
 
 @then("the holder no longer has a token")
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -83,7 +83,7 @@
         for router in self.routers:
             # Half of what is told gets lost.
             if router is not teller and self.draw.random() < 0.5:
-                router.lease.note_held(fence)
+                router.lease.note_other_holder(fence)
 
     def step(self):
         self.clock.now_s += STEP_S
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -318,7 +318,7 @@
     for other in context.fleet_model.alive():
         other.bus.received.clear()
     notice = _notice(side.bus.name, 1, ("e3",))
-    side.view.take(notice)
+    side.view.apply_notice(notice)
     side.bus.publish(notice)
 
 
@@ -340,8 +340,8 @@
 @when("a notice is overtaken by the next one")
 def step_overtaken(context):
     side = context.fleet_model.alive()[0]
-    side.relay.take(_notice("i1", 2, ()))
-    side.relay.take(_notice("i1", 1, ("e3",)))
+    side.relay.apply_notice(_notice("i1", 2, ()))
+    side.relay.apply_notice(_notice("i1", 1, ("e3",)))
 
 
 @then("the later one holds")
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -186,7 +186,7 @@
     def step(self):
         pass
 
-    def give_up(self):
+    def step_down(self):
         raise AssertionError("nobody refused it")
 
 
@@ -236,7 +236,7 @@
     elif news == "a notice of being ready":
         name = earlier.upstream.incarnation_id
         notice = RolloutNotice("b", 9, 1, MODEL, 4, (name,), (name,), (name,))
-        assert context.view.take(notice)
+        assert context.view.apply_notice(notice)
     else:
         assert news == "a broken connection", news
         directory.note_broken(earlier, "test")
@@ -321,7 +321,7 @@
     other.directory.put(incarnation(1000))
     view = RolloutView(other.directory, WeightsTargets(context.clock), context.clock)
     for notice in context.told:
-        view.take(attrs.evolve(notice))
+        view.apply_notice(attrs.evolve(notice))
     assert other.status().orders_accepted == orders
 
 
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -180,7 +180,7 @@
         named_age_s=1.0,
         keep_runs=keep_runs,
     )
-    assert context.view.take(notice)
+    assert context.view.apply_notice(notice)
 
 
 @given("a process told that e0 loads weights of m0")
--- a/features/steps/rollout_world.py
+++ b/features/steps/rollout_world.py
@@ -93,7 +93,7 @@
             return OrderOutcome.ALREADY_HOLDS
         self.accepted += 1
         self.loading = version
-        waits_for_runs = order.mode is LoadMode.AFTER_RUNS
+        waits_for_runs = order.mode is LoadMode.DRAIN_FIRST
         self.loaded_s = now_s + self.load_s
         if waits_for_runs:
             self.loaded_s += self.runs_end_s
--- a/features/steps/starts_steps.py
+++ b/features/steps/starts_steps.py
@@ -151,7 +151,7 @@
 def _tell(context, teller, fence):
     for name, lease in context.leases.items():
         if name != teller:
-            lease.note_held(fence)
+            lease.note_other_holder(fence)
 
 
 @given("a holder of a duty that tells of its renewals, and a contender")
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -262,7 +262,7 @@
             self._duty_rank,
             on_held=lambda fence: self._bus.publish(DutyHeld(ROLLOUT_DUTY, fence)),
         )
-        self._bus.on_message(DutyHeld, lambda held: lease.note_held(held.fence))
+        self._bus.on_message(DutyHeld, lambda held: lease.note_other_holder(held.fence))
         return RolloutDuty(
             lease,
             self._targets,
--- a/src/kumquatseam/leases/_lease.py
+++ b/src/kumquatseam/leases/_lease.py
@@ -106,14 +106,14 @@
         """The fencing token while this router holds the lease, else ``None``."""
         return self._fence if self._clock() < self._held_until_s else None
 
-    def give_up(self) -> None:
+    def step_down(self) -> None:
         """Stop acting: somebody has shown a newer token than this one."""
         _log.info("Gave up duty={} fence={}.", self._duty, self._fence)
         self._fence = None
         self._held_until_s = 0.0
         self._newest_seen_s = self._clock()
 
-    def note_held(self, fence: int) -> None:
+    def note_other_holder(self, fence: int) -> None:
         """Take in that another router holds the lease, as it says itself.
 
         That router's record is at the position ``fence``, so this one need not look
--- a/src/kumquatseam/platform/_orders.py
+++ b/src/kumquatseam/platform/_orders.py
@@ -26,13 +26,13 @@
 #: a move waits its turn behind others on both links: some tens of runs, each
 #: about 15 ms.
 _MOVE_TIMEOUT_S = 2.0
-_MODES = {LoadMode.AFTER_RUNS: "queue", LoadMode.UNDER_RUNS: "retain"}
+_MODES = {LoadMode.DRAIN_FIRST: "queue", LoadMode.IN_PLACE: "retain"}
 _OUTCOMES = {
     202: OrderOutcome.ACCEPTED,
     200: OrderOutcome.ALREADY_HOLDS,
     409: OrderOutcome.BUSY,
     412: OrderOutcome.FENCED,
-    421: OrderOutcome.OTHER_LIFE,
+    421: OrderOutcome.OTHER_INCARNATION,
 }
 
 
--- a/src/kumquatseam/rollouts/_duty.py
+++ b/src/kumquatseam/rollouts/_duty.py
@@ -85,7 +85,7 @@
         self._trials = LoadTrials(clock)
         #: the orders given and not yet done.
         self.orders = OpenOrders(
-            orders, directory, lease.give_up, self._trials.note_outcome, clock
+            orders, directory, lease.step_down, self._trials.note_outcome, clock
         )
         self._bus = bus
         self._view = view
@@ -231,7 +231,7 @@
         closing = tuple(sorted(plan.closing))
         destinations = tuple(sorted(plan.destinations)) if loading else ()
         keep_runs = [i for i in at_work if self.orders.keeps_runs(i)]
-        keep_runs += [i for i, mode in modes.items() if mode is LoadMode.UNDER_RUNS]
+        keep_runs += [i for i, mode in modes.items() if mode is LoadMode.IN_PLACE]
         kept = tuple(sorted(keep_runs))
         failed_tries = self._trials.failed_tries(weights)
         key = (weights, loading, closing, ready, destinations, failed_tries, kept)
@@ -259,7 +259,7 @@
             failed_tries,
             kept,
         )
-        self._view.take(notice)
+        self._view.apply_notice(notice)
         self._bus.publish(notice)
 
     def _order_counts(self, model: str) -> tuple[OrderCount, ...]:
--- a/src/kumquatseam/rollouts/_load_trials.py
+++ b/src/kumquatseam/rollouts/_load_trials.py
@@ -36,7 +36,7 @@
 #: outcomes of an order that the engine did not take and will not carry out later.
 _NOT_TAKEN = {
     OrderOutcome.FENCED,
-    OrderOutcome.OTHER_LIFE,
+    OrderOutcome.OTHER_INCARNATION,
     OrderOutcome.REFUSED,
     OrderOutcome.UNREACHED,
 }
--- a/src/kumquatseam/rollouts/_open_orders.py
+++ b/src/kumquatseam/rollouts/_open_orders.py
@@ -142,7 +142,7 @@
     def keeps_runs(self, incarnation_id: str) -> bool:
         """Return whether an engine's order lets its runs go on."""
         given = self._given.get(incarnation_id)
-        return given is not None and given.mode is LoadMode.UNDER_RUNS
+        return given is not None and given.mode is LoadMode.IN_PLACE
 
     def mode_of(
         self, weights: WeightsNamed, incarnation_id: str, is_at_once: bool
@@ -157,7 +157,7 @@
         last = self._last(incarnation_id, weights)
         if last is not None:
             return last.mode
-        return LoadMode.UNDER_RUNS if is_at_once else LoadMode.AFTER_RUNS
+        return LoadMode.IN_PLACE if is_at_once else LoadMode.DRAIN_FIRST
 
     def _last(self, incarnation_id: str, weights: WeightsNamed) -> _Order | None:
         """Return the engine's last order without effect, if it was to these weights."""
@@ -326,7 +326,7 @@
             self._after_busy(order, status, given)
         elif outcome is OrderOutcome.FENCED:
             self._on_fenced()
-        elif outcome in (OrderOutcome.UNREACHED, OrderOutcome.OTHER_LIFE):
+        elif outcome in (OrderOutcome.UNREACHED, OrderOutcome.OTHER_INCARNATION):
             given.patience_s = 0.0
             self._directory.note_broken(status, f"order {outcome.value}")
         elif outcome is not OrderOutcome.UNANSWERED:
--- a/src/kumquatseam/rollouts/_orders.py
+++ b/src/kumquatseam/rollouts/_orders.py
@@ -12,9 +12,9 @@
     """What becomes of an engine's runs when it is ordered to load."""
 
     #: they end first; the engine loads then.
-    AFTER_RUNS = "after_runs"
+    DRAIN_FIRST = "after_runs"
     #: it loads at once; they go on under the weights loaded.
-    UNDER_RUNS = "under_runs"
+    IN_PLACE = "under_runs"
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
     holder: str
     fence: int
     expected_orders: int
-    mode: LoadMode = LoadMode.AFTER_RUNS
+    mode: LoadMode = LoadMode.DRAIN_FIRST
 
 
 class OrderOutcome(enum.Enum):
@@ -43,7 +43,7 @@
     ALREADY_HOLDS = "already_holds"
     BUSY = "busy"
     FENCED = "fenced"
-    OTHER_LIFE = "other_life"
+    OTHER_INCARNATION = "other_life"
     REFUSED = "refused"
     UNANSWERED = "unanswered"
     UNREACHED = "unreached"
--- a/src/kumquatseam/rollouts/_view.py
+++ b/src/kumquatseam/rollouts/_view.py
@@ -119,5 +119,5 @@
 
     def take(self, notice: RolloutNotice) -> None:
         """Take in a notice."""
-        if self._view.take(notice) and self._bus.view().is_leader:
+        if self._view.apply_notice(notice) and self._bus.view().is_leader:
             self._bus.publish(notice)
