--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps for upstreams that start again under their id, in modelled time."""
+"""Steps for upstreams that restart under their id, in simulated time."""
 
 import re
 import threading
@@ -39,7 +39,7 @@
 
 
 class Side:
-    """What one instance knows."""
+    """The state of one instance."""
 
     def __init__(self, clock, bus=None):
         self.directory = UpstreamDirectory(clock)
@@ -57,10 +57,10 @@
         return self.index.look_up("1", PROMPT).held_tokens(holder)
 
 
-# What is known ends with the incarnation.
+# State of an earlier incarnation.
 
 
-@given("an engine started at {born_ms:d} that is known to hold, run and fail")
+@given("an engine started at {born_ms:d} with known cached prefixes, runs and failures")
 def step_known(context, born_ms):
     context.clock = Clock()
     side = context.side = Side(context.clock)
@@ -79,7 +79,7 @@
     assert context.side.directory.put(incarnation(born_ms))
 
 
-@then("nothing of before is known of it")
+@then("nothing known of the earlier incarnation is kept")
 def step_nothing_known(context):
     status = context.side.status()
     assert context.side.held_tokens() == 0
@@ -97,7 +97,10 @@
 # Peers.
 
 
-@given("2 instances that know what an engine started at {born_ms:d} holds and runs")
+@given(
+    "2 instances that know the cached prefixes and runs of an engine started at "
+    "{born_ms:d}"
+)
 def step_two(context, born_ms):
     context.clock = Clock()
     buses = [MemoryBus("a"), MemoryBus("b")]
@@ -106,31 +109,31 @@
     context.earlier = incarnation(born_ms).incarnation_id
     for side in context.sides:
         side.directory.put(incarnation(born_ms))
-    _tell_of_earlier(context)
+    _publish_earlier(context)
     second = context.sides[1]
     assert second.held_tokens() == 4000
     assert second.loads.on_upstream(context.earlier).running == 3
 
 
-def _tell_of_earlier(context):
+def _publish_earlier(context):
     read = PromptRead(context.earlier, "1", PROMPT.shared)
     loads = (UpstreamLoad(context.earlier, 3, 900),)
     for side in context.sides:
         side.bus.publish(LoadSummary(side.bus.name, loads, (read,)))
 
 
-@when("both learn that it started again at {born_ms:d}")
-def step_both_learn(context, born_ms):
+@when("both receive an entry that says that it restarted at {born_ms:d}")
+def step_both_receive_entry(context, born_ms):
     for side in context.sides:
         side.directory.put(incarnation(born_ms))
 
 
-@when("the first repeats what the earlier incarnation holds and runs")
+@when("the cached prefixes and runs of the earlier incarnation are published again")
 def step_repeats(context):
-    _tell_of_earlier(context)
+    _publish_earlier(context)
 
 
-@then("neither takes it to hold or to run anything")
+@then("neither records cached prefixes or runs for it")
 def step_neither(context):
     for side in context.sides:
         assert side.held_tokens() == 0
@@ -138,7 +141,7 @@
         assert side.loads.on_upstream(current).running == 0
 
 
-# What comes late.
+# Late messages.
 
 
 @given(
@@ -160,7 +163,7 @@
 
 
 class ScriptedClient(OrderClient):
-    """Takes orders and gives the report it was told to give."""
+    """Records orders and returns a preset outcome and report."""
 
     def __init__(self):
         self.report_next = None
@@ -179,7 +182,7 @@
 
 
 class HeldLease:
-    """A lease that is held."""
+    """A lease that is always held."""
 
     fence = 7
 
@@ -187,7 +190,7 @@
         pass
 
     def step_down(self):
-        raise AssertionError("nobody refused it")
+        raise AssertionError("stepped down although no engine saw a newer token")
 
 
 def build_duty(context, client, services=None, bounds=None):
@@ -209,10 +212,10 @@
     )
 
 
-def _ask(context, status, report):
-    """Let the holder hear ``report`` as the answer to a question."""
+def _poll(context, status, report):
+    """Poll an engine that answers with ``report``."""
     context.client.report_next = report
-    context.duty.orders.ask(MODEL, status)
+    context.duty.orders.poll_engine(MODEL, status)
 
 
 def _report(born_ms, version, orders):
@@ -220,25 +223,25 @@
     return EngineReport(weights, False, orders, 0, 0, born_ms)
 
 
-@when("{news} of the incarnation started at 1000 comes late")
-def step_late(context, news):
+@when("{message} of the incarnation started at 1000 arrives late")
+def step_late(context, message):
     now_s = context.clock()
     directory = context.side.directory
     earlier = context.earlier
-    if news == "an entry with weights 4":
+    if message == "an entry with weights 4":
         assert not directory.put(incarnation(1000, 4))
-    elif news == "a report with weights 4":
-        _ask(context, context.side.status(), _report(1000, 4, 9))
-    elif news == "an answer with weights 4":
+    elif message == "a report with weights 4":
+        _poll(context, context.side.status(), _report(1000, 4, 9))
+    elif message == "an answer with weights 4":
         earlier.note_answered(MODEL, 4, now_s)
-    elif news == "an order's acceptance":
+    elif message == "an order's acceptance":
         earlier.note_orders(8, now_s)
-    elif news == "a notice of being ready":
+    elif message == "a notice that it is ready":
         name = earlier.upstream.incarnation_id
         notice = RolloutNotice("b", 9, 1, MODEL, 4, (name,), (name,), (name,))
         assert context.view.apply_notice(notice)
     else:
-        assert news == "a broken connection", news
+        assert message == "a broken connection", message
         directory.note_broken(earlier, "test")
 
 
@@ -247,7 +250,7 @@
     "{orders:d} orders"
 )
 def step_report_started(context, born_ms, version, orders):
-    _ask(context, context.side.status(), _report(born_ms, version, orders))
+    _poll(context, context.side.status(), _report(born_ms, version, orders))
 
 
 @then(
@@ -266,13 +269,13 @@
 # Orders.
 
 
-@given("the holder of the duty before an engine started at {born_ms:d}")
+@given("the lease holder with an engine started at {born_ms:d}")
 def step_holder(context, born_ms):
     step_engine(context, born_ms, 1, 0)
     context.side.status().orders_accepted = None
 
 
-@when("weights 2 are to be in force and the engine is ordered to load them")
+@when("weights 2 become the target and the engine is ordered to load them")
 def step_ordered(context):
     context.targets.take(WeightsNamed(MODEL, 2))
     run_duty(context)
@@ -281,25 +284,25 @@
 
 def run_duty(context):
     context.duty.step()
-    # Orders go out on greenlets of their own.
+    # Orders are sent on separate greenlets.
     gevent.sleep(0.05)
 
 
-@when("the engine starts again at {born_ms:d} on weights 1 before it has")
+@when("the engine restarts at {born_ms:d} on weights 1 before it has loaded them")
 def step_starts_again(context, born_ms):
     context.side.directory.put(incarnation(born_ms, 1))
     context.clock.now_s += 0.1
     run_duty(context)
 
 
-@then("it is ordered again, expecting {orders:d} orders before")
+@then("it is ordered again, with {orders:d} earlier orders expected")
 def step_ordered_again(context, orders):
     first, second = context.client.orders
     assert second[0].born_ms > first[0].born_ms
     assert second[1].expected_orders == orders
 
 
-@then("that order expected {orders:d} orders before")
+@then("that order expected {orders:d} earlier orders")
 def step_expected(context, orders):
     ((_, order),) = context.client.orders
     assert order.expected_orders == orders, order
@@ -309,8 +312,8 @@
 def step_loaded(context):
     status = context.side.status()
     status.note_answered(MODEL, 2, context.clock())
-    context.told = []
-    context.side.bus.publish = context.told.append
+    context.published = []
+    context.side.bus.publish = context.published.append
     context.clock.now_s += 0.3
     run_duty(context)
 
@@ -320,7 +323,7 @@
     other = Side(context.clock)
     other.directory.put(incarnation(1000))
     view = RolloutView(other.directory, WeightsTargets(context.clock), context.clock)
-    for notice in context.told:
+    for notice in context.published:
         view.apply_notice(attrs.evolve(notice))
     assert other.status().orders_accepted == orders
 
@@ -328,7 +331,7 @@
 # Processes.
 
 
-@when("engine {upstream_id} starts again under its id")
+@when("engine {upstream_id} restarts under its id")
 def step_restart_engine(context, upstream_id):
     world = context.platform
     world.replicas[upstream_id].restart()
@@ -340,14 +343,14 @@
     context.platform.name_weights(version)
 
 
-@then("engine {upstream_id} accepted {count:d} order since it started again")
+@then("engine {upstream_id} accepted {count:d} order since its restart")
 def step_accepted(context, upstream_id, count):
     assert context.platform.replicas[upstream_id].sequence == count
 
 
 @when(
     '{count:d} callers stream from "{path}" and new weights are named meanwhile, and '
-    "each engine that takes a run over starts again"
+    "each engine that receives a moved run restarts"
 )
 def step_restart_destinations(context, count, path):
     world = context.platform
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps for which engines load new weights, and who is told."""
+"""Steps for the plan of a rollout and for its notices."""
 
 import math
 
@@ -17,7 +17,7 @@
 )
 
 
-def engine(
+def engine_state(
     number,
     version,
     running,
@@ -59,8 +59,8 @@
 @then("{count:d} engines load, {at_once:d} of them at once")
 def step_load_at_once(context, count, at_once):
     assert len(context.plan.order_now) == count, context.plan
-    assert len(context.plan.at_once) == at_once, context.plan
-    assert set(context.plan.at_once) <= set(context.plan.order_now), context.plan
+    assert len(context.plan.in_place) == at_once, context.plan
+    assert set(context.plan.in_place) <= set(context.plan.order_now), context.plan
 
 
 @given("{count:d} of them cannot be reached")
@@ -70,8 +70,8 @@
 
 @then("none of the engines that cannot be reached is among them")
 def step_none_unreachable(context):
-    gone = {f"e{i:02}" for i in range(context.unreachable)}
-    assert not gone & {*context.plan.order_now, *context.plan.destinations}
+    unreachable_ids = {f"e{i:02}" for i in range(context.unreachable)}
+    assert not unreachable_ids & {*context.plan.order_now, *context.plan.destinations}
 
 
 @when("weights {version:d} are named")
@@ -96,7 +96,7 @@
 
 def _plan(context, age_s, complete_s=math.inf):
     context.states = [
-        engine(
+        engine_state(
             i,
             version,
             runs,
@@ -151,7 +151,7 @@
 @then("of any number of engines up to 80 at most 0.4 load at once, and all get there")
 def step_any_size(context):
     for count in range(1, 81):
-        states = {f"e{i:02}": engine(i, 1, 5) for i in range(count)}
+        states = {f"e{i:02}": engine_state(i, 1, 5) for i in range(count)}
         for round_number in range(200):
             for upstream_id, state in states.items():
                 if not state.has_target:
@@ -161,11 +161,11 @@
             plan = plan_loads(list(states.values()), RolloutBounds())
             assert len(plan.order_now) <= max(1, int(count * 0.4)), plan
             for upstream_id in plan.order_now:
-                states[upstream_id] = engine(int(upstream_id[1:]), 2, 0, 2)
+                states[upstream_id] = engine_state(int(upstream_id[1:]), 2, 0, 2)
         assert all(state.has_target for state in states.values()), count
 
 
-def _notice(context, model, loading, destinations=(), keep_runs=()):
+def _apply_notice(context, model, loading, destinations=(), keep_runs=()):
     context.notices = getattr(context, "notices", 0) + 1
     notice = RolloutNotice(
         "a",
@@ -184,18 +184,18 @@
 
 
 @given("a process told that e0 loads weights of m0")
-def step_told(context):
+def step_notice(context):
     context.clock = Clock()
     context.directory = UpstreamDirectory(context.clock)
     context.directory.put(Upstream("e0", "engines", "a:1"))
     targets = WeightsTargets(context.clock)
     context.view = RolloutView(context.directory, targets, context.clock)
-    _notice(context, "m0", ("e0",))
+    _apply_notice(context, "m0", ("e0",))
 
 
 @when("it is told that nothing loads weights of {model}")
-def step_told_nothing(context, model):
-    _notice(context, model, ())
+def step_notice_nothing_loads(context, model):
+    _apply_notice(context, model, ())
 
 
 @then("e0 takes no work")
@@ -209,14 +209,14 @@
 
 
 @given("a process told that e0 loads weights of m0, and that e1 takes its runs")
-def step_told_destination(context):
-    step_told(context)
-    _notice(context, "m0", ("e0",), ("e1",))
+def step_notice_destination(context):
+    step_notice(context)
+    _apply_notice(context, "m0", ("e0",), ("e1",))
 
 
 @when("it is told that e0 loads weights of m0 under its runs")
-def step_told_keeps(context):
-    _notice(context, "m0", ("e0",), ("e1",), ("e0",))
+def step_notice_in_place(context):
+    _apply_notice(context, "m0", ("e0",), ("e1",), ("e0",))
 
 
 @then("runs of e0 move to e1")
--- a/features/steps/rollout_world.py
+++ b/features/steps/rollout_world.py
@@ -1,8 +1,8 @@
-"""Engines that load weights when they are ordered to, in modelled time.
+"""Simulated engines that load weights when ordered to, in simulated time.
 
-They take orders as their protocol says: an order that is already being carried out
-is accepted again and not counted again, any other is refused while one is under way
-or if it expects another count, and a report is some hundred milliseconds old.
+They follow the order protocol: an order that is already being executed is accepted
+again without being counted again; any other is refused during a load, or if it expects
+another count of accepted orders. A report is some hundred milliseconds old.
 """
 
 import collections
@@ -16,17 +16,17 @@
 
 #: how old a report is.
 REPORT_AGE_S = 0.3
-#: pause between two steps of the duty.
+#: interval between two steps of the duty.
 STEP_S = 0.1
 
 
 @attrs.frozen
-class EngineMoment:
-    """An engine as it was at some time.
+class EngineSnapshot:
+    """The state of an engine at some time.
 
-    :param at_s: when.
+    :param at_s: the time.
     :param version: the weights it ran.
-    :param is_busy: whether it carried out an order.
+    :param is_busy: whether it was executing an order.
     :param accepted: orders it had accepted.
     """
 
@@ -37,7 +37,7 @@
 
 
 class LoadingEngine:
-    """An engine that loads the weights it is ordered to.
+    """A simulated engine that loads the weights it is ordered to load.
 
     :param upstream: its entry.
     :param load_s: how long a load takes.
@@ -50,22 +50,23 @@
         self.accepted = 0
         self.loading = None
         self.loaded_s = 0.0
-        #: requests on it while it takes work; it finishes them before it loads.
+        #: requests on it while it is open to requests; they end before it loads,
+        #: unless it loads in place.
         self.runs = 0
         self.runs_end_s = 0.0
-        #: runs under which weights changed.
-        self.cut_runs = 0
-        #: refuses every order, as one does that knows no such weights.
+        #: runs that were in progress when it loaded in place.
+        self.interrupted_runs = 0
+        #: whether it refuses every order, like an engine that lacks the weights.
         self.refuses = False
         self.reports_while_loading = True
         self.reports = True
         self.ends_on_order = False
         self.has_ended = False
-        #: an order is carried out this long after it was given, unanswered.
+        #: delay until the next order is executed; that order is not answered.
         self.late_s = None
         self.late_order = None
         self.orders = 0
-        self.moments = [EngineMoment(0.0, version, False, 0)]
+        self.snapshots = [EngineSnapshot(0.0, version, False, 0)]
 
     def order(self, order, now_s):
         self.orders += 1
@@ -80,9 +81,9 @@
             self.late_order = (now_s + self.late_s, order)
             self.late_s = None
             return OrderOutcome.UNANSWERED
-        return self._take(order, now_s)
+        return self._execute(order, now_s)
 
-    def _take(self, order, now_s):
+    def _execute(self, order, now_s):
         if order.expected_orders != self.accepted:
             return OrderOutcome.BUSY
         version = order.weights.version
@@ -97,43 +98,43 @@
         self.loaded_s = now_s + self.load_s
         if waits_for_runs:
             self.loaded_s += self.runs_end_s
-        self.cut_runs += 0 if waits_for_runs else self.runs
-        self._note(now_s)
+        self.interrupted_runs += 0 if waits_for_runs else self.runs
+        self._record(now_s)
         return OrderOutcome.ACCEPTED
 
     def pass_time(self, now_s):
         if self.late_order is not None and now_s >= self.late_order[0]:
-            self._take(self.late_order[1], now_s)
+            self._execute(self.late_order[1], now_s)
             self.late_order = None
         if self.loading is not None and now_s >= self.loaded_s:
             self.version = self.loading
             self.loading = None
-            self._note(now_s)
+            self._record(now_s)
 
     def report(self, now_s):
         is_silent = self.loading is not None and not self.reports_while_loading
         if is_silent or self.has_ended or not self.reports:
             return None
-        moment = [m for m in self.moments if m.at_s <= now_s - REPORT_AGE_S][-1]
+        snapshot = [m for m in self.snapshots if m.at_s <= now_s - REPORT_AGE_S][-1]
         return EngineReport(
-            (WeightsNamed(self.upstream.weights[0].model, moment.version),),
-            moment.is_busy,
-            moment.accepted,
+            (WeightsNamed(self.upstream.weights[0].model, snapshot.version),),
+            snapshot.is_busy,
+            snapshot.accepted,
             0,
             0,
             self.upstream.born_ms,
         )
 
-    def _note(self, now_s):
-        self.moments.append(
-            EngineMoment(now_s, self.version, self.loading is not None, self.accepted)
+    def _record(self, now_s):
+        self.snapshots.append(
+            EngineSnapshot(now_s, self.version, self.loading is not None, self.accepted)
         )
 
 
 class LoadingEngines(OrderClient):
-    """Gives orders to engines that carry them out.
+    """Sends orders to simulated engines.
 
-    :param clock: modelled seconds.
+    :param clock: simulated seconds.
     """
 
     def __init__(self, clock):
@@ -163,32 +164,32 @@
             engine.pass_time(self.clock())
 
 
-def pass_time(context, for_s, look=None):
-    """Let the holder of the duty work for a while.
+def pass_time(context, for_s, on_step=None):
+    """Run the steps of the lease holder for some simulated time.
 
-    Counts the steps after which each engine took no work.
+    Counts the steps after which each engine was blocked for requests.
 
-    :param look: called after each step.
+    :param on_step: called after each step.
     """
     end_s = context.clock() + for_s
     context.steps = 0
     context.blocked_steps = collections.Counter()
-    context.most_loading = context.open_while_loading = 0
+    context.max_loading = context.open_while_loading = 0
     for status in context.side.directory.all():
         status.running = context.client.engines[status.upstream.upstream_id].runs
     while context.clock() < end_s:
         context.duty.step()
-        # Orders and questions go out on greenlets of their own.
+        # Orders and polls are sent on separate greenlets.
         gevent.sleep(0.03)
         context.clock.sleep(STEP_S)
         context.client.pass_time()
         context.steps += 1
-        if look is not None:
-            look()
+        if on_step is not None:
+            on_step()
         for status in context.side.directory.all():
             is_blocked = status.blocked_until_s > context.clock()
             engine = context.client.engines[status.upstream.upstream_id]
             context.blocked_steps[status.upstream.upstream_id] += is_blocked
             context.open_while_loading += engine.loading is not None and not is_blocked
         loading = [e for e in context.client.engines.values() if e.loading is not None]
-        context.most_loading = max(context.most_loading, len(loading))
+        context.max_loading = max(context.max_loading, len(loading))
--- a/features/steps/weights_begun_late_steps.py
+++ b/features/steps/weights_begun_late_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that begin on replaced weights too late, in modelled time."""
+"""Steps for requests that begin on replaced weights too late, in simulated time."""
 
 import json
 import time
@@ -24,16 +24,17 @@
 
 MODEL = "m0"
 TOPIC = "keyed.op"
-#: a reader waits this long for news; without it others read after a second.
+#: a reader waits up to `wait_s` for changes; other instances read the topic
+#: themselves after about a second without an update.
 PACE = ReadPace(wait_s=0.4, pause_s=0.0, stale_after_s=1.2)
-#: how often a process that runs notes that it does.
-PULSE_S = 0.2
-#: what a step itself may take by the machine's own clocks.
-STEP_MOST_S = 1.0
+#: interval at which a running process records that it is running.
+RUNNING_INTERVAL_S = 0.2
+#: maximum duration of a step itself, by the machine's own clocks.
+MAX_STEP_S = 1.0
 
 
-class QuietBus:
-    """A bus on which nobody else is heard."""
+class IsolatedBus:
+    """A bus without other instances."""
 
     name = "i0"
 
@@ -47,72 +48,75 @@
         return SimpleNamespace(is_leader=False)
 
 
-class QuietQuestions:
-    """Nobody asks."""
+class NoQuestions:
+    """A question registry that receives no questions."""
 
     def on_question(self, kind, answer):
         pass
 
 
-def _weights(offset, version):
+def _weights_change(offset, version):
     value = json.dumps({"model": MODEL, "version": version}).encode()
     return KeyedChange(offset, f"version/{MODEL}", value)
 
 
-def _update(context, *changes):
+def _deliver_update(context, *changes):
     known = context.watch.copy.next_offset
     batch = KeyedBatch(known, known + len(changes), changes)
     context.feeds.take_update(TopicUpdate("i1", TOPIC, batch))
 
 
-def _name(context, version):
+def _name_weights(context, version):
     context.targets.take(WeightsNamed(MODEL, version))
 
 
-@given("an instance that knows of no weights before an engine on weights 1")
-def step_instance(context):
+@given("an instance that knows no target weights, with an engine on weights 1")
+def step_instance_without_targets(context):
     context.clock = Clock()
     context.placer, context.targets = build_placer(context.clock, [("e0", 1)])
 
 
-@given("an instance before an engine on weights 1")
-def step_instance_knows(context):
-    step_instance(context)
-    _name(context, 1)
+@given("an instance with an engine on weights 1")
+def step_instance(context):
+    step_instance_without_targets(context)
+    _name_weights(context, 1)
 
 
-@when("it stands still for {for_s:g} seconds, in which weights 2 are named at once")
-def step_still(context, for_s):
+@when(
+    "it is paused for {for_s:g} seconds, and weights 2 are named right when the pause "
+    "begins"
+)
+def step_paused_while_named(context, for_s):
     context.clock.sleep(for_s)
-    _name(context, 2)
+    _name_weights(context, 2)
 
 
-@when("the log says that weights {version:d} are named")
+@when("the log names weights {version:d}")
 def step_name(context, version):
-    _name(context, version)
+    _name_weights(context, version)
 
 
-@when("the log says that weights {version:d} are named, and {for_s:g} seconds go by")
+@when("the log names weights {version:d}, and {for_s:g} seconds pass")
 def step_name_and_pass(context, version, for_s):
-    _name(context, version)
+    _name_weights(context, version)
     context.clock.sleep(for_s)
 
 
-@when("{for_s:g} more seconds go by")
+@when("{for_s:g} more seconds elapse")
 def step_pass_more(context, for_s):
     context.clock.sleep(for_s)
 
 
-@when("the holder of the duty says that they were named {age_s:g} seconds ago")
-def step_hear(context, age_s):
+@when("the lease holder announces that they were named {age_s:g} seconds ago")
+def step_announced(context, age_s):
     context.targets.hear(WeightsNamed(MODEL, 2), age_s, 1)
 
 
 @when(
-    "the holder of the duty says that weights {version:d} were named {age_s:g} seconds "
-    "ago after {replaced:d}"
+    "the lease holder announces that weights {version:d} were named {age_s:g} seconds "
+    "ago, replacing {replaced:d}"
 )
-def step_hear_after(context, version, age_s, replaced):
+def step_announced_replacing(context, version, age_s, replaced):
     context.targets.hear(WeightsNamed(MODEL, version), age_s, replaced)
 
 
@@ -126,54 +130,56 @@
     assert context.placer.place(build_request()) is None
 
 
-@given("an instance before an engine on weights 1, which follows the operators' topic")
-def step_instance_follows(context):
-    step_instance(context)
+@given("an instance with an engine on weights 1, which reads the operators' topic")
+def step_instance_reads_topic(context):
+    step_instance_without_targets(context)
     clock = context.clock
     context.feeds = TopicFeeds(
-        None, QuietBus(), None, QuietQuestions(), clock=context.clock
+        None, IsolatedBus(), None, NoQuestions(), clock=context.clock
     )
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
-    context.watch.copy.take(KeyedBatch(0, 5, (_weights(4, 1),), is_whole=True))
+    context.watch.copy.take(KeyedBatch(0, 5, (_weights_change(4, 1),), is_whole=True))
     # Weights 1 were named long ago.
     for _ in range(50):
-        clock.sleep(PULSE_S)
+        clock.sleep(RUNNING_INTERVAL_S)
         context.feeds.standstills.note_running()
-        _update(context)
+        _deliver_update(context)
 
 
-@when("it stands still for {for_s:g} seconds")
-def step_stand_still(context, for_s):
+@when("it is paused for {for_s:g} seconds")
+def step_paused(context, for_s):
     context.clock.sleep(for_s)
 
 
-@when("it goes on, and no update arrives for {for_s:g} seconds")
+@when("it keeps running, and no update arrives for {for_s:g} seconds")
 def step_no_update(context, for_s):
-    for _ in range(round(for_s / PULSE_S)):
-        context.clock.sleep(PULSE_S)
+    for _ in range(round(for_s / RUNNING_INTERVAL_S)):
+        context.clock.sleep(RUNNING_INTERVAL_S)
         context.feeds.standstills.note_running()
 
 
-@when("an update without news arrives")
+@when("an update without changes arrives")
 def step_empty_update(context):
-    _update(context)
+    _deliver_update(context)
 
 
 @when("an update that names weights {version:d} arrives")
 def step_update(context, version):
-    _update(context, _weights(context.watch.copy.next_offset, version))
+    _deliver_update(context, _weights_change(context.watch.copy.next_offset, version))
 
 
-@when("the topic is read as a whole and names weights {version:d}")
+@when("the topic is read in full and names weights {version:d}")
 def step_read_whole(context, version):
     offset = context.watch.copy.next_offset
-    batch = KeyedBatch(0, offset + 1, (_weights(offset, version),), is_whole=True)
+    batch = KeyedBatch(
+        0, offset + 1, (_weights_change(offset, version),), is_whole=True
+    )
     context.watch.copy.take(batch)
 
 
-@then("it tells others that weights 2 were named {age_s:g} seconds ago")
-def step_tells(context, age_s):
+@then("it reports to others that weights 2 were named {age_s:g} seconds ago")
+def step_reported_age(context, age_s):
     assert context.targets.age_s(MODEL) == age_s, context.targets.age_s(MODEL)
 
 
@@ -183,8 +189,8 @@
 @given("weights that were named just now, by this machine's own clocks")
 def step_named_now(context):
     context.targets = WeightsTargets()
-    _name(context, 1)
-    _name(context, 2)
+    _name_weights(context, 1)
+    _name_weights(context, 2)
 
 
 @given("a copy of a topic that was read just now, by this machine's own clocks")
@@ -194,11 +200,11 @@
     context.copy.take(KeyedBatch(0, 5, is_whole=True))
 
 
-@given("an instance that follows the operators' topic by this machine's own clocks")
+@given("an instance that reads the operators' topic, by this machine's own clocks")
 def step_follows_now(context):
     context.targets = WeightsTargets()
-    _name(context, 1)
-    context.feeds = TopicFeeds(None, QuietBus(), None, QuietQuestions())
+    _name_weights(context, 1)
+    context.feeds = TopicFeeds(None, IsolatedBus(), None, NoQuestions())
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
     context.watch.copy.take(KeyedBatch(0, 5, is_whole=True))
@@ -218,7 +224,7 @@
     assert context.holder.fence is not None
 
 
-@given("a contender that knows of it")
+@given("a contender that has read its lease record")
 def step_contender_now(context):
     context.contender = _contender(context, "contender")
     context.contender.step()
@@ -227,54 +233,54 @@
 
 @when("the machine is suspended for {for_s:g} seconds")
 def step_suspend(context, for_s):
-    """Let the clock pass that counts suspensions, and no other."""
+    """Advance only the clock that counts suspensions."""
     read = time.clock_gettime
 
-    def read_later(clock_id):
+    def read_shifted(clock_id):
         is_suspend_aware = clock_id == time.CLOCK_BOOTTIME
         return read(clock_id) + (for_s if is_suspend_aware else 0.0)
 
-    patch = mock.patch("time.clock_gettime", read_later)
+    patch = mock.patch("time.clock_gettime", read_shifted)
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-@when("the holder looks after its lease")
-def step_holder_looks(context):
+@when("the holder runs a step of its lease")
+def step_holder_runs(context):
     context.holder.step()
 
 
-@when("the contender looks after the lease")
-def step_contender_looks(context):
+@when("the contender runs a step of its lease")
+def step_contender_runs(context):
     context.contender.step()
 
 
-def _assert_about(found_s, expected_s):
-    assert expected_s <= found_s <= expected_s + STEP_MOST_S, found_s
+def _assert_age(found_s, expected_s):
+    assert expected_s <= found_s <= expected_s + MAX_STEP_S, found_s
 
 
 @then("they are {age_s:g} seconds old")
 def step_they_are(context, age_s):
-    _assert_about(context.targets.age_s(MODEL), age_s)
-    _assert_about(context.targets.replaced_age_s(MODEL, 1), age_s)
+    _assert_age(context.targets.age_s(MODEL), age_s)
+    _assert_age(context.targets.replaced_age_s(MODEL, 1), age_s)
 
 
 @then("the copy is {age_s:g} seconds old")
 def step_copy_is(context, age_s):
-    _assert_about(context.copy.age_s(), age_s)
+    _assert_age(context.copy.age_s(), age_s)
 
 
 @then("weights 1 may have been replaced {age_s:g} seconds ago")
 def step_may_be_replaced(context, age_s):
-    _assert_about(context.targets.replaced_age_s(MODEL, 1), age_s)
+    _assert_age(context.targets.replaced_age_s(MODEL, 1), age_s)
 
 
-@then("it does not hold the duty")
+@then("it does not hold the lease")
 def step_not_held(context):
     assert context.holder.fence is None
 
 
-@then("the holder alone holds the duty")
+@then("only the holder has the lease")
 def step_holder_alone(context):
     assert context.contender.fence is None
     assert context.holder.fence is not None
@@ -287,7 +293,7 @@
     context.add_cleanup(patch.stop)
 
 
-@then("seconds pass as by the monotonic clock")
+@then("elapsed time follows the monotonic clock")
 def step_monotonic(context):
     began_s = time.monotonic()
     assert began_s <= clocks.elapsed_s() <= time.monotonic()
--- a/features/steps/weights_left_behind_steps.py
+++ b/features/steps/weights_left_behind_steps.py
@@ -1,4 +1,4 @@
-"""Steps for engines that stay on old weights, in modelled time."""
+"""Steps for engines that stay on old weights, in simulated time."""
 
 import attrs
 from behave import given, then, when
@@ -25,7 +25,7 @@
     context.duty = build_duty(context, context.client, traits)
 
 
-@given("the holder of the duty before {count:d} engines that load within {load_s:g} s")
+@given("the lease holder with {count:d} engines that load within {load_s:g} s")
 def step_holder(context, count, load_s):
     build_world(context, [MODEL])
     for number in range(count):
@@ -34,8 +34,8 @@
 
 
 @given(
-    "the holder of the duty before {count:d} engines of each of {models:d} models that "
-    "load within {load_s:g} s"
+    "the lease holder with {count:d} engines of each of {models:d} models that load "
+    "within {load_s:g} s"
 )
 def step_models(context, count, models, load_s):
     names = [f"m{number}" for number in range(models)]
@@ -47,14 +47,15 @@
 
 
 @given(
-    "the first order to {count:d} of them is carried out {late_s:g} s later, unanswered"
+    "the first order to {count:d} of them is executed {late_s:g} s later and not "
+    "answered"
 )
-def step_first_late(context, count, late_s):
+def step_first_order_late(context, count, late_s):
     for engine in list(context.client.engines.values())[:count]:
         engine.late_s = late_s
 
 
-@given("the reports of {count:d} of them never come")
+@given("the reports of {count:d} of them never arrive")
 def step_no_reports(context, count):
     for engine in list(context.client.engines.values())[:count]:
         engine.reports = False
@@ -68,7 +69,7 @@
     lease.fence = 8
 
 
-@when("{for_s:g} seconds pass, and the list shows what each engine runs")
+@when("{for_s:g} seconds pass, and the upstream list shows the weights of each engine")
 def step_listed(context, for_s):
     pass_time(context, for_s, lambda: list_engines(context))
 
@@ -86,8 +87,8 @@
     list(context.client.engines.values())[-1].refuses = True
 
 
-@when("an engine that runs weights {runs:d} is believed to run weights {version:d}")
-def step_believed(context, runs, version):
+@when("an engine that runs weights {runs:d} is recorded as running weights {version:d}")
+def step_recorded_version(context, runs, version):
     engine = next(iter(context.client.engines.values()))
     assert engine.version == runs, engine.version
     status = context.side.directory.status(engine.upstream.incarnation_id)
@@ -104,8 +105,8 @@
 
 
 @given(
-    "requests may begin on what was replaced for {begin_s:g} s, and all engines have "
-    "{complete_s:g} s"
+    "requests may begin on replaced weights for {begin_s:g} s, and all engines have "
+    "to load within {complete_s:g} s"
 )
 def step_bound(context, begin_s, complete_s):
     bounds = RolloutBounds(begin_s, complete_s)
@@ -118,8 +119,8 @@
         engine.runs_end_s = runs_end_s
 
 
-@given("{count:d} of them end, unnoticed, as they accept an order")
-def step_end(context, count):
+@given("{count:d} of them end undetected when they accept an order")
+def step_end_on_order(context, count):
     for engine in list(context.client.engines.values())[:count]:
         engine.ends_on_order = True
 
@@ -136,14 +137,14 @@
         engine.refuses = True
 
 
-@when("weights {version:d} are to be in force, and {for_s:g} seconds pass")
+@when("weights {version:d} become the target, and {for_s:g} seconds pass")
 def step_named(context, version, for_s):
     context.targets.take(WeightsNamed(MODEL, version))
     pass_time(context, for_s)
 
 
 @when(
-    "weights {version:d} of {models:d} models are to be in force, and {for_s:g} s pass"
+    "weights {version:d} of {models:d} models become the target, and {for_s:g} s pass"
 )
 def step_all_named(context, version, models, for_s):
     for number in range(models):
@@ -155,7 +156,7 @@
     "weights are named {count:d} times, {pause_s:g} s apart, and {for_s:g} seconds pass"
 )
 def step_named_often(context, count, pause_s, for_s):
-    # When each version was named, and when at most one engine was older.
+    # When each version was named, and when at most one engine still ran an older one.
     context.named_s = {}
     context.reached_s = {}
     for version in range(2, 2 + count):
@@ -179,14 +180,14 @@
         engine.load_s = load_s
 
 
-@when("the holder believes {count:d} fewer orders of each engine than there were")
-def step_believes_fewer(context, count):
+@when("the holder's count of accepted orders is {count:d} too low for each engine")
+def step_count_too_low(context, count):
     for status in context.side.directory.all():
         status.orders_accepted -= count
 
 
-@when("the holder believes {count:d} more orders of each engine than there were")
-def step_believes(context, count):
+@when("the holder's count of accepted orders is {count:d} too high for each engine")
+def step_count_too_high(context, count):
     for status in context.side.directory.all():
         known = status.orders_accepted or 0
         status.note_orders(known + count, context.clock())
@@ -198,8 +199,8 @@
     assert versions.count(version) == count, versions
 
 
-@then("the engines that refuse took work most of the time")
-def step_took_work(context):
+@then("the engines that refuse were open to requests most of the time")
+def step_open_to_requests(context):
     for engine in context.client.engines.values():
         if engine.refuses:
             blocked = context.blocked_steps[engine.upstream.upstream_id]
@@ -219,7 +220,7 @@
     assert max(counts) <= most, counts
 
 
-@then("each reached all engines but one within {bound_s:g} s")
+@then("each version reached all engines but one within {bound_s:g} s")
 def step_reached(context, bound_s):
     took_s = {
         version: round(context.reached_s[version] - named_s, 1)
@@ -228,14 +229,19 @@
     assert max(took_s.values()) <= bound_s, took_s
 
 
-@then("at most {most:d} engines loaded at once, and none took work meanwhile")
+@then(
+    "at most {most:d} engines loaded at the same time, and none was open to requests "
+    "meanwhile"
+)
 def step_loaded_at_once(context, most):
-    assert context.most_loading <= most, context.most_loading
+    assert context.max_loading <= most, context.max_loading
     # A notice may go out a step after an engine began to load.
     assert context.open_while_loading <= most, context.open_while_loading
 
 
-@then("weights changed under the runs of at most {most:d} engines")
-def step_cut(context, most):
-    cut = sum(engine.cut_runs > 0 for engine in context.client.engines.values())
-    assert cut <= most, cut
+@then("at most {most:d} engines loaded weights while they had runs")
+def step_loaded_with_runs(context, most):
+    interrupted = sum(
+        engine.interrupted_runs > 0 for engine in context.client.engines.values()
+    )
+    assert interrupted <= most, interrupted
--- a/features/steps/weights_that_crash_steps.py
+++ b/features/steps/weights_that_crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps for weights that no engine can load, in modelled time."""
+"""Steps for weights that crash the engines that load them, in simulated time."""
 
 import random
 
@@ -12,61 +12,61 @@
 
 #: pause between two steps of the duty.
 STEP_S = 0.5
-#: an engine's entry leaves the list this long after its end, and it is back then.
-LAPSE_S = 1.0
+#: times from an engine's crash to the expiry of its entry, and to its restart.
+ENTRY_EXPIRY_S = 1.0
 RESTART_S = 3.0
 #: how long a load takes.
 LOAD_S = 0.6
-#: a first crash comes this long after weights were named.
-FIRST_CRASH_S = 0.7
+#: time from the naming of weights to the first crash.
+FIRST_CRASH_DELAY_S = 0.7
 
 
 class CrashingClient(OrderClient):
-    """Gives orders to engines that end when they begin to carry them out.
+    """Sends orders to simulated engines that crash when they begin to load.
 
-    :param side: the instance that knows the engines.
-    :param clock: modelled seconds.
+    :param side: the state of the instance that sends the orders.
+    :param clock: simulated seconds.
     """
 
     def __init__(self, side: Side, clock: Clock):
         self.side = side
         self.clock = clock
-        self.crashed_s = []
-        #: orders that crash their engines, by number; all of them if not said.
+        self.crashed_at_s = []
+        #: numbers of the orders that crash their engines; ``None`` for all.
         self.crashing = None
         self.orders = 0
         self.load_s = LOAD_S
-        #: what happens later, by when.
-        self.due = []
-        #: incarnations that ended; those that are still listed answer nothing.
+        #: scheduled events: time, kind and engine.
+        self.events = []
+        #: incarnations that ended; they do not answer while they are still listed.
         self.ended = set()
-        #: until then engines crash before an order reaches them.
-        self.dead_until_s = 0.0
+        #: engines crash before an order reaches them until this time.
+        self.crashing_until_s = 0.0
 
     def order(self, upstream, order):
         now_s = self.clock()
-        if now_s < self.dead_until_s and self.runs(upstream):
-            self.end(upstream)
+        if now_s < self.crashing_until_s and self.runs(upstream):
+            self.crash(upstream)
         if upstream.incarnation_id in self.ended:
             return OrderOutcome.UNREACHED
         self.orders += 1
         if self.crashing is not None and self.orders not in self.crashing:
-            self.due.append((now_s + self.load_s, "loaded", upstream))
+            self.events.append((now_s + self.load_s, "loaded", upstream))
             return OrderOutcome.ACCEPTED
-        self.crashed_s.append(now_s)
-        self.end(upstream)
+        self.crashed_at_s.append(now_s)
+        self.crash(upstream)
         return OrderOutcome.ACCEPTED
 
-    def end(self, upstream):
-        """Let an engine crash; it starts again on the weights that it ran."""
+    def crash(self, upstream):
+        """Crash an engine; it restarts on the weights that it ran."""
         now_s = self.clock()
         self.ended.add(upstream.incarnation_id)
-        self.due.append((now_s + LAPSE_S, "lapse", upstream))
-        self.due.append((now_s + RESTART_S, "start", upstream))
+        self.events.append((now_s + ENTRY_EXPIRY_S, "lapse", upstream))
+        self.events.append((now_s + RESTART_S, "start", upstream))
 
-    def end_later(self, after_s, upstream_id):
-        """Let the engine of an id crash of something else, if it runs then."""
-        self.due.append((self.clock() + after_s, "crash", upstream_id))
+    def schedule_crash(self, after_s, upstream_id):
+        """Schedule an unrelated crash of the engine that has the id by then."""
+        self.events.append((self.clock() + after_s, "crash", upstream_id))
 
     def runs(self, upstream):
         """Return whether an incarnation has not ended."""
@@ -80,29 +80,29 @@
         return None
 
     def pass_time(self, now_s):
-        """Let entries lapse and engines start again, on the weights of before."""
-        left = []
-        for at_s, what, upstream in self.due:
+        """Run due events: loads, crashes, expired entries and restarts."""
+        remaining = []
+        for at_s, kind, upstream in self.events:
             if at_s > now_s:
-                left.append((at_s, what, upstream))
-            elif what == "crash":
+                remaining.append((at_s, kind, upstream))
+            elif kind == "crash":
                 for status in self.side.directory.all():
                     known = status.upstream
                     if known.upstream_id == upstream and self.runs(known):
-                        self.end(known)
-            elif what == "loaded":
+                        self.crash(known)
+            elif kind == "loaded":
                 if self.runs(upstream):
                     weights = (WeightsNamed(MODEL, 2),)
                     self.side.directory.put(attrs.evolve(upstream, weights=weights))
-            elif what == "lapse":
+            elif kind == "lapse":
                 self.side.directory.remove(upstream.upstream_id)
             else:
                 born_ms = upstream.born_ms + int(RESTART_S * 1000)
                 self.side.directory.put(attrs.evolve(upstream, born_ms=born_ms))
-        self.due = left
+        self.events = remaining
 
 
-@given("the holder of the duty before {count:d} engines on weights 1")
+@given("the lease holder with {count:d} engines on weights 1")
 def step_holder(context, count):
     step_engine(context, 1000, 1, 0)
     for number in range(1, count):
@@ -115,18 +115,21 @@
     context.duty = build_duty(context, context.client)
 
 
-@given("{count:d} engines crash every {pause_s:d} s for {for_s:d} s, drawn by {seed:d}")
+@given(
+    "{count:d} engines crash every {pause_s:d} s for {for_s:d} s, chosen with seed "
+    "{seed:d}"
+)
 def step_waves(context, count, pause_s, for_s, seed):
-    draws = random.Random(seed)
+    generator = random.Random(seed)
     ids = [s.upstream.upstream_id for s in context.side.directory.all()]
     for after_s in range(0, for_s + 1, pause_s):
-        for upstream_id in draws.sample(ids, count):
-            context.client.end_later(after_s + FIRST_CRASH_S, upstream_id)
+        for upstream_id in generator.sample(ids, count):
+            context.client.schedule_crash(after_s + FIRST_CRASH_DELAY_S, upstream_id)
 
 
 @given("engines crash just before they are ordered, for {for_s:d} s")
-def step_dead(context, for_s):
-    context.client.dead_until_s = context.clock() + for_s
+def step_crash_before_order(context, for_s):
+    context.client.crashing_until_s = context.clock() + for_s
 
 
 @given("a load takes {load_s:d} s")
@@ -134,36 +137,36 @@
     context.client.load_s = load_s
 
 
-@when("weights 2 are to be in force")
-def step_good_named(context):
+@when("weights 2 become the target")
+def step_loadable_named(context):
     context.client.crashing = set()
     context.targets.take(WeightsNamed(MODEL, 2))
 
 
-@when("weights 2 are to be in force, and crash each engine that begins to load them")
-def step_named(context):
+@when("weights 2 become the target, and crash each engine that begins to load them")
+def step_crashing_named(context):
     context.targets.take(WeightsNamed(MODEL, 2))
 
 
-@when("weights 2 are to be in force, and 3 engines crash of something else meanwhile")
+@when("weights 2 become the target, and 3 engines crash for another reason meanwhile")
 def step_some_crash(context):
     context.client.crashing = {2, 5, 7}
     context.targets.take(WeightsNamed(MODEL, 2))
 
 
-@when("weights 2 are to be in force, and the first {count:d} engines ordered crash")
+@when("weights 2 become the target, and the first {count:d} engines ordered crash")
 def step_first_crash(context, count):
     context.client.crashing = set(range(1, count + 1))
     context.targets.take(WeightsNamed(MODEL, 2))
 
 
-@when("another instance takes the duty over from what it was told")
+@when("another instance takes over the lease, with the notices it has received")
 def step_taken_over(context):
-    # The view is what every instance knows of the rollout.
+    # The view stays: it holds what every instance knows from the notices.
     context.duty = build_duty(context, context.client)
 
 
-@when("{for_s:d} seconds pass, in which engines that ended start again")
+@when("{for_s:d} seconds pass, in which engines that ended restart")
 def step_pass(context, for_s):
     end_s = context.clock() + for_s
     while context.clock() < end_s:
@@ -179,7 +182,7 @@
 
 @then("at most {most:d} engines crashed")
 def step_crashed(context, most):
-    crashed = len(context.client.crashed_s)
+    crashed = len(context.client.crashed_at_s)
     assert crashed <= most, crashed
 
 
--- a/features/weights_that_crash.feature
+++ b/features/weights_that_crash.feature
@@ -1,43 +1,42 @@
 Feature: Weights that crash the engines that load them
-  A request that crashes what runs it was sent on and on, since nobody remembered
-  what had been begun on an engine that ended. An order is begun on engines too:
-  weights that cannot be loaded end each engine which is ordered to them, and it is
-  ordered again as soon as it is back, with all that runs there by then: nine engines
-  ended 120 times within a minute ("Order given." with outcome accepted, each time).
+  Weights that cannot be loaded crash every engine that is ordered to load them. Each
+  was ordered again as soon as it had restarted, and the crash also ended the requests
+  on it: nine engines ended 120 times within a minute (each with a log line "Order
+  given." and outcome accepted).
 
-  Scenario: An order that crashes its engines is not given for ever
-    Given the holder of the duty before 9 engines on weights 1
-    When weights 2 are to be in force, and crash each engine that begins to load them
-    And 60 seconds pass, in which engines that ended start again
+  Scenario: An order that crashes its engines is not repeated forever
+    Given the lease holder with 9 engines on weights 1
+    When weights 2 become the target, and crash each engine that begins to load them
+    And 60 seconds pass, in which engines that ended restart
     Then at most 6 engines crashed
 
-  Scenario: A holder that takes over knows of the tries that failed
-    Given the holder of the duty before 9 engines on weights 1
-    When weights 2 are to be in force, and crash each engine that begins to load them
-    And 10 seconds pass, in which engines that ended start again
-    And another instance takes the duty over from what it was told
-    And 50 seconds pass, in which engines that ended start again
+  Scenario: A new lease holder knows how many attempts failed
+    Given the lease holder with 9 engines on weights 1
+    When weights 2 become the target, and crash each engine that begins to load them
+    And 10 seconds pass, in which engines that ended restart
+    And another instance takes over the lease, with the notices it has received
+    And 50 seconds pass, in which engines that ended restart
     Then at most 6 engines crashed
 
-  Scenario: Engines that crash of something else do not stop a rollout
-    Given the holder of the duty before 9 engines on weights 1
-    When weights 2 are to be in force, and 3 engines crash of something else meanwhile
-    And 8 seconds pass, in which engines that ended start again
+  Scenario: Engines that crash for another reason do not stop a rollout
+    Given the lease holder with 9 engines on weights 1
+    When weights 2 become the target, and 3 engines crash for another reason meanwhile
+    And 8 seconds pass, in which engines that ended restart
     Then every engine runs weights 2
 
-  Scenario: A first wave that crashes of something else does not stop a rollout
-    Given the holder of the duty before 9 engines on weights 1
-    When weights 2 are to be in force, and the first 3 engines ordered crash
-    And 10 seconds pass, in which engines that ended start again
+  Scenario: A first wave that crashes for another reason does not stop a rollout
+    Given the lease holder with 9 engines on weights 1
+    When weights 2 become the target, and the first 3 engines ordered crash
+    And 10 seconds pass, in which engines that ended restart
     Then every engine runs weights 2
 
-  Scenario Outline: Engines that crash wave after wave do not hold a rollout up
-    Given the holder of the duty before 9 engines on weights 1
-    And 4 engines crash every <pause_s> s for <for_s> s, drawn by <seed>
+  Scenario Outline: Repeated waves of unrelated crashes do not delay a rollout
+    Given the lease holder with 9 engines on weights 1
+    And 4 engines crash every <pause_s> s for <for_s> s, chosen with seed <seed>
     And a load takes <load_s> s
-    When weights 2 are to be in force
-    And <for_s> seconds pass, in which engines that ended start again
-    And 11 seconds pass, in which engines that ended start again
+    When weights 2 become the target
+    And <for_s> seconds pass, in which engines that ended restart
+    And 11 seconds pass, in which engines that ended restart
     Then every engine runs weights 2
 
     Examples:
@@ -49,20 +48,20 @@
       | 2       | 16    | 2      | 37   |
       | 3       | 12    | 3      | 42   |
 
-  Scenario: Engines that were dead when they were ordered do not stop a rollout
-    Given the holder of the duty before 9 engines on weights 1
+  Scenario: Engines that had ended before they were ordered do not stop a rollout
+    Given the lease holder with 9 engines on weights 1
     And engines crash just before they are ordered, for 6 s
     And a load takes 2 s
-    When weights 2 are to be in force
-    And 6 seconds pass, in which engines that ended start again
-    And 11 seconds pass, in which engines that ended start again
+    When weights 2 become the target
+    And 6 seconds pass, in which engines that ended restart
+    And 11 seconds pass, in which engines that ended restart
     Then every engine runs weights 2
 
-  Scenario Outline: Crashes of other engines do not excuse weights for long
-    Given the holder of the duty before 9 engines on weights 1
-    And <count> engines crash every <pause_s> s for <for_s> s, drawn by 1
-    When weights 2 are to be in force, and crash each engine that begins to load them
-    And 60 seconds pass, in which engines that ended start again
+  Scenario Outline: Crashes of other engines do not hide crashing weights for long
+    Given the lease holder with 9 engines on weights 1
+    And <count> engines crash every <pause_s> s for <for_s> s, chosen with seed 1
+    When weights 2 become the target, and crash each engine that begins to load them
+    And 60 seconds pass, in which engines that ended restart
     Then at most <most> engines crashed
 
     Examples:
@@ -70,18 +69,18 @@
       | 1     | 10      | 60    | 9    |
       | 4     | 60      | 1     | 10   |
 
-  Scenario: A pause after failed tries does not begin anew with each holder
-    Given the holder of the duty before 9 engines on weights 1
-    When weights 2 are to be in force, and the first 5 engines ordered crash
-    And 10 seconds pass, in which engines that ended start again
-    And another instance takes the duty over from what it was told
-    And 10 seconds pass, in which engines that ended start again
+  Scenario: The backoff after failed attempts does not restart with each lease holder
+    Given the lease holder with 9 engines on weights 1
+    When weights 2 become the target, and the first 5 engines ordered crash
+    And 10 seconds pass, in which engines that ended restart
+    And another instance takes over the lease, with the notices it has received
+    And 10 seconds pass, in which engines that ended restart
     Then every engine runs weights 2
 
-  Scenario: A rollout that was taken for a failed one goes on soon
-    Given the holder of the duty before 9 engines on weights 1
-    When weights 2 are to be in force, and the first 6 engines ordered crash
-    And 35 seconds pass, in which engines that ended start again
+  Scenario: A rollout that was mistaken for a failed one continues soon
+    Given the lease holder with 9 engines on weights 1
+    When weights 2 become the target, and the first 6 engines ordered crash
+    And 35 seconds pass, in which engines that ended restart
     And nothing happens for 55 seconds
-    And 10 seconds pass, in which engines that ended start again
+    And 10 seconds pass, in which engines that ended restart
     Then every engine runs weights 2
--- a/src/kumquatseam/leases/__init__.py
+++ b/src/kumquatseam/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases on duties that one instance at a time may hold, kept in the log service."""
+"""Leases on duties that one instance at a time performs, stored in the log service."""
 
 from kumquatseam.leases._lease import DutyLease
 
--- a/src/kumquatseam/rollouts/__init__.py
+++ b/src/kumquatseam/rollouts/__init__.py
@@ -1,10 +1,15 @@
-"""Bringing engines to the weights that operators name.
+"""Rollout of the weights that operators name to all engines.
+
+One instance holds the rollout lease ("the holder"). It orders engines to load new
+weights, a few at a time, and broadcasts notices of the progress to all instances. A
+"run" is the execution of one request on an engine.
 
 - :func:`plan_loads` decides which engines load next; a pure function.
-- :class:`RolloutDuty` gives the orders while this instance holds the lease.
-- :class:`RolloutView` applies what the holder tells every instance, and
-  :class:`NoticeRelay` hands it on where not all hear the holder.
-- :class:`OrderClient` is the interface to engines' orders and reports.
+- :class:`RolloutDuty` sends the orders while this instance holds the lease.
+- :class:`RolloutView` applies the holder's notices at every instance, and
+  :class:`NoticeRelay` rebroadcasts them where some instances cannot receive them
+  directly.
+- :class:`OrderClient` is the interface for ordering engines and reading their reports.
 """
 
 from kumquatseam.rollouts._duty import RolloutDuty
--- a/src/kumquatseam/rollouts/_duty.py
+++ b/src/kumquatseam/rollouts/_duty.py
@@ -1,4 +1,4 @@
-"""Giving the orders of a rollout while this instance holds the lease."""
+"""Running a rollout while this instance holds the lease."""
 
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -10,9 +10,9 @@
 from kumquatseam.logs import part_logger
 from kumquatseam.loops import BackgroundTask
 from kumquatseam.peers import OrderCount, PeerBus, RolloutNotice
-from kumquatseam.rollouts._load_trials import LoadTrials
-from kumquatseam.rollouts._open_orders import OpenOrders, has_weights
+from kumquatseam.rollouts._load_backoff import LoadBackoff
 from kumquatseam.rollouts._orders import LoadMode, OrderClient, WeightsOrder
+from kumquatseam.rollouts._pending_orders import PendingOrders, has_weights
 from kumquatseam.rollouts._plan import (
     EngineState,
     LoadPlan,
@@ -31,36 +31,36 @@
 
 _log = part_logger("rollout")
 
-#: instances get this long to hear which engines load before the order goes,
-#: so that none sends work that would be refused; ten times a message's way.
+#: time between the notice of which engines load and the orders, so that no instance
+#: sends a request that would be refused; ten times the latency of a message.
 NOTICE_LEAD_S = 0.02
 #: seconds between two notices while engines load.
-NOTICE_PAUSE_S = 0.25
-#: steps of the duty while engines load, while there is nothing to do, and while
-#: another instance holds it: a tenth of the shortest usual lease.
-ACTIVE_PAUSE_S = 0.03
-IDLE_PAUSE_S = 0.1
-STANDBY_PAUSE_S = 0.3
+NOTICE_INTERVAL_S = 0.25
+#: interval between steps while engines load, while there is nothing to do, and while
+#: another instance holds the lease; the last is a tenth of the shortest usual lease.
+ACTIVE_INTERVAL_S = 0.03
+IDLE_INTERVAL_S = 0.1
+STANDBY_INTERVAL_S = 0.3
 
 
 class RolloutDuty(BackgroundTask):
-    """Orders engines to the weights named, a few at a time.
+    """Orders engines to load the weights that operators named, a few at a time.
 
-    Only the holder of the lease gives orders, and each carries the lease's
-    fencing token. Every instance is told which engines load before they are
-    ordered to. The lease lapses by itself after ``close``.
+    Only the holder of the lease sends orders, and each carries the lease's fencing
+    token. A notice of which engines load is broadcast before they are ordered. After
+    ``close`` the lease expires without being released.
 
-    :param lease: this instance's part in the duty.
+    :param lease: the lease on the rollout duty.
     :param targets: the weights named.
-    :param live: tells which services run a model.
+    :param live: the routes, with the services that run each model.
     :param directory: the engines.
-    :param orders: gives orders.
-    :param bus: tells the other instances.
-    :param view: tells this instance.
-    :param running_on: how many requests each of some engines has, by
-        incarnation; those nobody knows of are missing.
+    :param orders: sends orders.
+    :param bus: broadcasts notices to the other instances.
+    :param view: applies notices at this instance.
+    :param running_on: returns how many requests each of the given engines has, by
+        incarnation; engines without a known load are missing.
     :param clock: monotonic clock in seconds.
-    :param bounds: what is allowed after weights were named.
+    :param bounds: time limits of a rollout.
     """
 
     def __init__(
@@ -82,17 +82,17 @@
         self._targets = targets
         self._live = live
         self._directory = directory
-        self._trials = LoadTrials(clock)
-        #: the orders given and not yet done.
-        self.orders = OpenOrders(
-            orders, directory, lease.step_down, self._trials.note_outcome, clock
+        self._backoff = LoadBackoff(clock)
+        #: the orders sent whose effect is not known yet.
+        self.orders = PendingOrders(
+            orders, directory, lease.step_down, self._backoff.note_outcome, clock
         )
         self._bus = bus
         self._view = view
         self._running_on = running_on
         self._clock = clock
-        self._told: dict[str, tuple[float, tuple]] = {}
-        self._notices = 0
+        self._last_notices: dict[str, tuple[float, tuple]] = {}
+        self._notice_count = 0
         self._wake = gevent.event.Event()
         targets.on_change(self._wake.set)
 
@@ -100,22 +100,22 @@
         while True:
             try:
                 self.step()
-            except Exception:  # noqa: BLE001 - logged; the duty goes on
+            except Exception:  # noqa: BLE001 - logged; the loop continues
                 _log.exception("A step of the rollout failed.")
-            self._wake.wait(self._pause_s())
+            self._wake.wait(self._interval_s())
             self._wake.clear()
 
-    def _pause_s(self) -> float:
+    def _interval_s(self) -> float:
         if self._lease.fence is None:
-            return STANDBY_PAUSE_S
-        return ACTIVE_PAUSE_S if self.orders else IDLE_PAUSE_S
+            return STANDBY_INTERVAL_S
+        return ACTIVE_INTERVAL_S if self.orders else IDLE_INTERVAL_S
 
     def step(self) -> None:
-        """Do what is due, if this instance holds the duty."""
+        """Renew or acquire the lease, and advance all rollouts while it is held."""
         self._lease.step()
         if self._lease.fence is None:
             self.orders.clear()
-            self._trials.stand_by()
+            self._backoff.on_standby()
             return
         for weights in self._targets.all():
             self._step_model(weights)
@@ -123,28 +123,28 @@
     def _step_model(self, weights: WeightsNamed) -> None:
         statuses = self._engines_of(weights.model)
         self.orders.drop_done(weights, statuses)
-        self._follow_trials(weights, statuses)
-        self.orders.ask_due(weights, statuses)
+        self._update_backoff(weights, statuses)
+        self.orders.poll_due(weights, statuses)
         running = self._running(weights, statuses)
         states = [self._state(weights, status, running) for status in statuses]
         plan = plan_loads(
             states,
             self._bounds,
-            self._trials.most_loading(weights),
-            self.orders.expected_s(),
+            self._backoff.loading_limit(weights),
+            self.orders.typical_duration_s(),
         )
         modes = {
             incarnation_id: self.orders.mode_of(
-                weights, incarnation_id, incarnation_id in plan.at_once
+                weights, incarnation_id, incarnation_id in plan.in_place
             )
             for incarnation_id in plan.order_now
         }
-        self._tell(weights, states, plan, modes)
+        self._broadcast_notice(weights, states, plan, modes)
         if plan.order_now:
             gevent.sleep(NOTICE_LEAD_S)
             for incarnation_id, mode in modes.items():
                 status = self._directory.status(incarnation_id)
-                self._begin_order(weights, status, mode)
+                self._send_order(weights, status, mode)
 
     def _engines_of(self, model: str) -> list[UpstreamStatus]:
         table = self._live.current
@@ -158,30 +158,30 @@
             if not status.upstream.is_leaving
         ]
 
-    def _follow_trials(
+    def _update_backoff(
         self, weights: WeightsNamed, statuses: list[UpstreamStatus]
     ) -> None:
-        """Learn from what became of the engines that were ordered to load."""
-        trials = self._trials
-        trials.hear(weights, self._view.failed_tries(weights))
+        """Update the backoff from the engines that loaded or ended."""
+        backoff = self._backoff
+        backoff.restore_failures(weights, self._view.failed_tries(weights))
         if any(has_weights(status, weights) for status in statuses):
-            trials.note_loaded(weights)
+            backoff.note_loaded(weights)
         listed = [status.upstream.incarnation_id for status in statuses]
-        for incarnation_id in trials.look(weights, listed):
+        for incarnation_id in backoff.update_listed(weights, listed):
             if self._directory.status(incarnation_id) is not None:
-                trials.forget(weights, incarnation_id)
-            elif trials.note_ended(weights, incarnation_id):
+                backoff.forget(weights, incarnation_id)
+            elif backoff.note_ended(weights, incarnation_id):
                 _log.bind(
                     upstream=incarnation_id,
                     model=weights.model,
                     version=weights.version,
-                    failed_tries=trials.failed_tries(weights),
+                    failed_tries=backoff.failed_tries(weights),
                 ).warning("Engine ended after it was ordered to load.")
 
     def _running(
         self, weights: WeightsNamed, statuses: list[UpstreamStatus]
     ) -> Mapping[str, int]:
-        """Return the requests on the engines that still have to load."""
+        """Return the number of requests on each engine that still has to load."""
         waiting = [
             status.upstream.incarnation_id
             for status in statuses
@@ -200,12 +200,12 @@
             incarnation_id,
             status.version_of(weights.model),
             has_weights(status, weights),
-            self.orders.is_open(incarnation_id),
+            self.orders.has_pending(incarnation_id),
             running.get(incarnation_id, status.running),
             status.upstream.slots,
             status.upstream.availability_zone,
             status.held_out_until_s <= self._clock(),
-            self.orders.may_give(weights, incarnation_id),
+            self.orders.may_send(weights, incarnation_id),
             self._replaced_s(weights.model, status),
         )
 
@@ -216,37 +216,37 @@
             return self._targets.age_s(model)
         return self._targets.replaced_age_s(model, version)
 
-    def _tell(
+    def _broadcast_notice(
         self,
         weights: WeightsNamed,
         states: Sequence[EngineState],
         plan: LoadPlan,
         modes: Mapping[str, LoadMode],
     ) -> None:
-        """Tell every instance, when something changed and now and then."""
+        """Broadcast a notice if the plan changed, or if a repeat is due."""
         now_s = self._clock()
         ready = tuple(s.incarnation_id for s in states if s.has_target)
-        at_work = [s.incarnation_id for s in states if s.is_loading]
-        loading = tuple(sorted([*at_work, *plan.order_now]))
+        already_loading = [s.incarnation_id for s in states if s.is_loading]
+        loading = tuple(sorted([*already_loading, *plan.order_now]))
         closing = tuple(sorted(plan.closing))
         destinations = tuple(sorted(plan.destinations)) if loading else ()
-        keep_runs = [i for i in at_work if self.orders.keeps_runs(i)]
+        keep_runs = [i for i in already_loading if self.orders.keeps_runs(i)]
         keep_runs += [i for i, mode in modes.items() if mode is LoadMode.IN_PLACE]
         kept = tuple(sorted(keep_runs))
-        failed_tries = self._trials.failed_tries(weights)
+        failed_tries = self._backoff.failed_tries(weights)
         key = (weights, loading, closing, ready, destinations, failed_tries, kept)
         fence = self._lease.fence
-        told_s, told_key = self._told.get(weights.model, (0.0, ()))
-        is_due = now_s - told_s >= NOTICE_PAUSE_S and (loading or closing)
-        if fence is None or (key == told_key and not is_due):
+        noticed_s, noticed_key = self._last_notices.get(weights.model, (0.0, ()))
+        is_due = now_s - noticed_s >= NOTICE_INTERVAL_S and (loading or closing)
+        if fence is None or (key == noticed_key and not is_due):
             return
-        self._told[weights.model] = (now_s, key)
+        self._last_notices[weights.model] = (now_s, key)
         age_s = self._targets.age_s(weights.model)
-        self._notices += 1
+        self._notice_count += 1
         notice = RolloutNotice(
             self._bus.name,
             fence,
-            self._notices,
+            self._notice_count,
             weights.model,
             weights.version,
             loading,
@@ -263,21 +263,21 @@
         self._bus.publish(notice)
 
     def _order_counts(self, model: str) -> tuple[OrderCount, ...]:
-        """Return how many orders each engine accepted, for a successor."""
+        """Return how many orders each engine accepted, for the next holder."""
         return tuple(
             OrderCount(status.upstream.incarnation_id, status.orders_accepted)
             for status in self._engines_of(model)
             if status.orders_accepted
         )
 
-    def _begin_order(
+    def _send_order(
         self, weights: WeightsNamed, status: UpstreamStatus | None, mode: LoadMode
     ) -> None:
-        """Give an order without waiting for its answer."""
+        """Send an order without waiting for the answer."""
         fence = self._lease.fence
         if fence is None or status is None:
             return
-        self._trials.note_ordered(weights, status.upstream.incarnation_id)
+        self._backoff.note_ordered(weights, status.upstream.incarnation_id)
         order = WeightsOrder(
             weights,
             self._bus.name,
@@ -285,4 +285,4 @@
             self.orders.expected_orders(weights, status),
             mode,
         )
-        self.orders.give(order, status)
+        self.orders.send(order, status)
--- a/src/kumquatseam/rollouts/_orders.py
+++ b/src/kumquatseam/rollouts/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines and what comes back."""
+"""Orders to engines, and their outcomes and reports."""
 
 import abc
 import enum
@@ -9,24 +9,24 @@
 
 
 class LoadMode(enum.Enum):
-    """What becomes of an engine's runs when it is ordered to load."""
+    """What happens to an engine's runs when it is ordered to load."""
 
-    #: they end first; the engine loads then.
+    #: the engine finishes its runs before it loads.
     DRAIN_FIRST = "after_runs"
-    #: it loads at once; they go on under the weights loaded.
+    #: the engine loads immediately; its runs continue on the new weights.
     IN_PLACE = "under_runs"
 
 
 @attrs.frozen
 class WeightsOrder:
-    """An order to run other weights.
+    """An order to an engine to load weights.
 
     :param weights: the model and the version to run.
-    :param holder: the instance that gives the order.
+    :param holder: the instance that sends the order.
     :param fence: its fencing token.
-    :param expected_orders: orders the engine has accepted so far; it refuses
-        if there were others, so a late order cannot undo a newer one.
-    :param mode: what becomes of its runs.
+    :param expected_orders: how many orders the engine has accepted so far; it refuses
+        the order if its own count differs, so a late order cannot undo a newer one.
+    :param mode: what happens to its runs.
     """
 
     weights: WeightsNamed
@@ -37,7 +37,10 @@
 
 
 class OrderOutcome(enum.Enum):
-    """How an engine took an order."""
+    """The result of sending an order to an engine.
+
+    ``OTHER_INCARNATION``: the engine has restarted since the order was addressed.
+    """
 
     ACCEPTED = "accepted"
     ALREADY_HOLDS = "already_holds"
@@ -51,13 +54,13 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself; some hundred milliseconds old.
+    """An engine's report of its state; some hundred milliseconds old.
 
     :param weights: the weights it runs.
-    :param is_busy: whether it carries out an order.
+    :param is_busy: whether it is executing an order.
     :param orders_accepted: orders accepted in this incarnation.
     :param waiting: requests in its queue.
-    :param running: requests it runs.
+    :param running: requests it is executing.
     :param born_ms: when this incarnation started, as in
         :class:`~kumquatseam.upstreams.Upstream`.
     """
@@ -72,11 +75,11 @@
 
 @attrs.frozen
 class MovedRun:
-    """A run that stopped at one engine and may go on at another.
+    """A run that was stopped on one engine and can resume on another.
 
-    :param source: address of the engine it stopped at.
-    :param handle: names the copy of its memory; good for one use.
-    :param events: events the run had made.
+    :param source: address of the engine it was stopped on.
+    :param handle: identifies the copy of its KV cache; valid for one use.
+    :param events: how many events the run had produced.
     """
 
     source: str
@@ -85,21 +88,21 @@
 
 
 class OrderClient(abc.ABC):
-    """Gives orders to engines, asks how they are, and moves their runs."""
+    """Sends orders to engines, fetches their reports, and moves their runs."""
 
     @abc.abstractmethod
     def order(self, upstream: Upstream, order: WeightsOrder) -> OrderOutcome:
-        """Give an order to one engine."""
+        """Send an order to one engine."""
 
     @abc.abstractmethod
     def report(self, upstream: Upstream) -> EngineReport | None:
-        """Ask an engine how it is; ``None`` if it does not say."""
+        """Fetch an engine's report; ``None`` if it sends none."""
 
     @abc.abstractmethod
     def move_run(
         self, source: Upstream, request_id: str, destination: Upstream
     ) -> MovedRun | None:
-        """Stop a run and copy its memory to another engine.
+        """Stop a run and copy its KV cache to another engine.
 
-        :returns: ``None`` if it was not stopped or cannot go on.
+        :returns: ``None`` if it was not stopped or cannot resume.
         """
--- a/src/kumquatseam/rollouts/_plan.py
+++ b/src/kumquatseam/rollouts/_plan.py
@@ -1,9 +1,9 @@
-"""Which engines load new weights now, and where their runs go.
+"""Deciding which engines load new weights now, and where their runs move.
 
-An engine finishes its runs before it loads, and streams last for seconds. So
-the engines that load hand their runs over to others of the same weights, and
-the last ones, which have nowhere to hand them, get no new work and load when
-their runs have ended. New work goes to the engines that are ready.
+An engine finishes its runs before it loads, and streams last for seconds. So runs of
+the engines that load move to other engines with the same weights. The last engines
+have no such destination: they receive no new requests and load when their runs have
+ended. New requests go to the engines that already run the new weights.
 """
 
 import collections
@@ -12,37 +12,36 @@
 
 import attrs
 
-#: share of a model's engines that load at once: the others serve meanwhile, and
-#: where many load, each load takes longer.
+#: maximum share of a model's engines that load at the same time: the others keep
+#: serving, and each load takes longer the more engines load.
 LOADING_SHARE = 0.4
-#: share of its slots that an engine may fill with runs taken over.
-TAKE_OVER_SHARE = 0.85
-#: an engine loads at the latest this long after its weights were replaced, whatever
-#: it still runs, or after this share of the time allowed for all.
+#: share of its slots up to which an engine accepts moved runs.
+MOVED_RUNS_FILL_SHARE = 0.85
+#: an engine loads at the latest this long after its weights were replaced, even if it
+#: still has runs, or after this share of the time allowed for all engines.
 FORCE_AFTER_S = 4.0
 FORCE_SHARE = 0.4
-#: share of the engines that have to be ready before the others may wait for
-#: their runs to end: as many as carry the usual load.
+#: share of the engines that have to be ready before the others may wait for their
+#: runs to end: enough engines to serve the usual load.
 READY_SHARE = 0.5
-#: runs that the last engines may still have when they are ordered to load: a
-#: run that just ended is counted for as long as loads take to be shared.
+#: an engine with at most this many runs counts as drained: a run that just ended is
+#: still counted until the instances have exchanged their loads.
 DRAINED_RUNS = 1
 
 
 @attrs.frozen
 class EngineState:
-    """An engine as the holder of the duty sees it.
+    """The state of an engine as known to the holder of the lease.
 
-    :param incarnation_id: names it.
+    :param incarnation_id: identifies the engine.
     :param version: the weights it runs; ``None`` if unknown.
-    :param has_target: they are the ones that are to be in force.
-    :param is_loading: it was ordered to them and has not finished.
+    :param has_target: whether it runs the target version, or a newer one.
+    :param is_loading: whether it was ordered to load the target and has not finished.
     :param running: requests on it, as far as known.
-    :param slots: requests it runs at once.
-    :param availability_zone: where it is; runs move faster within one.
-    :param is_reachable: whether it answers; one that does not takes no place
-        among those that load.
-    :param may_be_ordered: whether it did not just refuse to.
+    :param slots: how many requests it can run concurrently.
+    :param availability_zone: its zone; runs move faster within one zone.
+    :param is_reachable: whether it answers; one that does not is left out of the plan.
+    :param may_be_ordered: whether no backoff after a refusal is in effect for it.
     :param replaced_s: how long ago its weights were replaced; 0 if they were not.
     """
 
@@ -60,30 +59,30 @@
 
 @attrs.frozen
 class LoadPlan:
-    """What is due.
+    """Which engines load, drain and receive runs now.
 
     :param order_now: engines to order now.
-    :param closing: engines that get no new work if others can take it.
-    :param destinations: engines that take over the runs of those that load.
-    :param at_once: those of ``order_now`` that cannot wait until their runs end.
+    :param closing: engines that get new requests only if no other engine can take them.
+    :param destinations: engines to which the runs of those that load move.
+    :param in_place: those of ``order_now`` that load without finishing their runs.
     """
 
     order_now: tuple[str, ...] = ()
     closing: tuple[str, ...] = ()
     destinations: tuple[str, ...] = ()
-    at_once: tuple[str, ...] = ()
+    in_place: tuple[str, ...] = ()
 
 
-def max_loading(engines: int) -> int:
-    """Return how many of ``engines`` may load at once."""
+def loading_limit(engines: int) -> int:
+    """Return how many of ``engines`` may load at the same time."""
     return max(1, int(engines * LOADING_SHARE))
 
 
 @attrs.frozen
 class RolloutBounds:
-    """What is allowed after weights were named.
+    """Time limits of a rollout, counted from when operators named the weights.
 
-    :param begin_s: how long requests may begin on the weights replaced.
+    :param begin_s: how long requests may still begin on the replaced weights.
     :param complete_s: how long until every engine has to run the new ones.
     """
 
@@ -92,61 +91,63 @@
 
     @property
     def force_after_s(self) -> float:
-        """How long an engine may go on with its runs."""
+        """How long an engine may continue its runs before it has to load."""
         return min(FORCE_AFTER_S, self.complete_s * FORCE_SHARE)
 
 
 def plan_loads(
     engines: Sequence[EngineState],
     bounds: RolloutBounds,
-    most_loading: int | None = None,
-    order_takes_s: float = 0.0,
+    backoff_limit: int | None = None,
+    order_duration_s: float = 0.0,
 ) -> LoadPlan:
-    """Return what is due for the engines of one model.
+    """Return the plan for the engines of one model.
 
-    Each engine's time counts from when its own weights were replaced, and those on
-    the oldest weights come first: while weights are named again and again, the time
-    since the newest naming says nothing of the engines that lag most.
+    Each engine's time counts from when its own weights were replaced, and engines on
+    the oldest weights come first: if new weights are named repeatedly, the time since
+    the newest naming does not show how far the slowest engines lag.
 
-    :param bounds: what is allowed after a naming.
-    :param most_loading: how many may load at once while it is not known whether
-        the weights load at all.
-    :param order_takes_s: how long orders take now, from the order to the end of the
-        load; most of it is for runs to end.
+    :param bounds: time limits of the rollout.
+    :param backoff_limit: how many engines may load at the same time until the weights
+        are known to load, after failed attempts; ``None`` for no such limit.
+    :param order_duration_s: how long orders take at present, from sending to the end
+        of the load; mostly waiting for runs to end.
     """
-    limit = max_loading(len(engines)) if most_loading is None else most_loading
+    limit = loading_limit(len(engines)) if backoff_limit is None else backoff_limit
     if limit == 0:
         return LoadPlan()
     engines = [engine for engine in engines if engine.is_reachable]
     old = [e for e in engines if not e.has_target and not e.is_loading]
-    orderable = sorted((e for e in old if e.may_be_ordered), key=_urgency)
-    keepers = _keepers(engines)
+    orderable = sorted((e for e in old if e.may_be_ordered), key=_load_priority)
+    destinations = _destinations(engines)
     ready = sum(1 for e in engines if e.has_target)
     ready_to_load = [
         e
         for e in orderable
         if e.running <= DRAINED_RUNS
         or e.replaced_s > bounds.force_after_s
-        or e not in keepers
+        or e not in destinations
     ]
     loading = sum(1 for e in engines if e.is_loading)
     if not ready_to_load and not loading and ready < len(engines) * READY_SHARE:
-        # Nobody has room for another's runs; the weights have to get on anyway.
+        # No engine has room for moved runs, but the rollout has to progress.
         ready_to_load = orderable[:1]
     now = ready_to_load[: max(0, limit - loading)]
-    if most_loading is None:
-        # Nothing may begin on these, so the limit keeps no engine for callers.
-        now += [e for e in orderable if _is_useless(e, bounds) and e not in now]
+    if backoff_limit is None:
+        # No request may begin on these, so the limit would keep no engine in service.
+        now += [
+            e for e in orderable if _is_past_begin_bound(e, bounds) and e not in now
+        ]
     return LoadPlan(
         tuple(e.incarnation_id for e in now),
         tuple(e.incarnation_id for e in _lagging(engines, old) if e not in now),
-        tuple(e.incarnation_id for e in keepers if e not in now),
+        tuple(e.incarnation_id for e in destinations if e not in now),
         tuple(
             e.incarnation_id
             for e in now
             if e.running > DRAINED_RUNS
             and (
-                bounds.complete_s < e.replaced_s + order_takes_s < math.inf
+                bounds.complete_s < e.replaced_s + order_duration_s < math.inf
                 or _is_stuck(e, [m for m in engines if m not in now], bounds)
             )
         ),
@@ -156,71 +157,71 @@
 def _is_stuck(
     engine: EngineState, others: Sequence[EngineState], bounds: RolloutBounds
 ) -> bool:
-    """Return whether an engine's time is up, and its runs neither end nor can move.
+    """Return whether an overdue engine has runs that neither end nor can be moved.
 
-    It got no new work for a while and is full all the same, so its runs would keep
-    it out of service for much longer than runs usually last.
+    It has received no new requests for a while and is still full, so waiting for its
+    runs would keep it out of service for much longer than runs usually last.
     """
-    is_full = engine.running > engine.slots * TAKE_OVER_SHARE
+    is_full = engine.running > engine.slots * MOVED_RUNS_FILL_SHARE
     if not is_full or engine.replaced_s <= bounds.force_after_s:
         return False
     room = sum(
-        max(0.0, other.slots * TAKE_OVER_SHARE - other.running)
+        max(0.0, other.slots * MOVED_RUNS_FILL_SHARE - other.running)
         for other in others
         if other.version == engine.version and not other.is_loading
     )
     return room < engine.running
 
 
-def _urgency(engine: EngineState) -> tuple[int, float, str]:
-    """Return what engines to load are ordered by."""
+def _load_priority(engine: EngineState) -> tuple[int, float, str]:
+    """Return the sort key of engines to load: oldest weights, then fewest runs."""
     return engine.version or 0, engine.running, engine.incarnation_id
 
 
-def _is_useless(engine: EngineState, bounds: RolloutBounds) -> bool:
-    """Return whether no request may begin on an engine's weights any more."""
+def _is_past_begin_bound(engine: EngineState, bounds: RolloutBounds) -> bool:
+    """Return whether requests may no longer begin on an engine's weights."""
     return bounds.begin_s < engine.replaced_s < math.inf
 
 
 def _lagging(
     engines: Sequence[EngineState], old: Sequence[EngineState]
 ) -> list[EngineState]:
-    """Return the old engines while others have newer weights and take work."""
+    """Return the old engines whose weights are older than those of serving ones."""
     newest = max((e.version or 0 for e in engines if not e.is_loading), default=0)
     return [e for e in old if (e.version or 0) < newest]
 
 
-def _keepers(engines: Sequence[EngineState]) -> list[EngineState]:
-    """Return the engines of each old version that keep its runs to the end.
+def _destinations(engines: Sequence[EngineState]) -> list[EngineState]:
+    """Return the engines of each old version that load last and receive its runs.
 
-    Runs move to these alone, so that none has to move twice. They are the
-    engines with the most runs, as few as have the slots, and in as many
-    availability zones as there are runs, since a move between two zones takes
-    twice as long.
+    Runs move only to these, so that no run has to move twice. They are the engines
+    with the most runs, as few as provide the slots needed, and cover every
+    availability zone that has runs, since a move between two zones takes twice as
+    long.
     """
-    keepers: list[EngineState] = []
+    destinations: list[EngineState] = []
     for version in {e.version for e in engines if not e.has_target}:
         group = [e for e in engines if e.version == version and not e.has_target]
         runs = sum(e.running for e in group)
         zones = {e.availability_zone for e in group if e.running > DRAINED_RUNS}
         slots = 0.0
-        for engine in _zones_in_turn([e for e in group if not e.is_loading]):
+        for engine in _round_robin_zones([e for e in group if not e.is_loading]):
             if slots and slots >= runs and not zones:
                 break
             zones.discard(engine.availability_zone)
-            keepers.append(engine)
-            slots += engine.slots * TAKE_OVER_SHARE
-    return keepers
+            destinations.append(engine)
+            slots += engine.slots * MOVED_RUNS_FILL_SHARE
+    return destinations
 
 
-def _zones_in_turn(engines: Sequence[EngineState]) -> list[EngineState]:
-    """Return engines with the most runs first, each zone in its turn."""
+def _round_robin_zones(engines: Sequence[EngineState]) -> list[EngineState]:
+    """Return engines round-robin over the zones, those with the most runs first."""
     ordered = sorted(
         engines, key=lambda engine: (-engine.running, engine.incarnation_id)
     )
-    turns: collections.Counter[str] = collections.Counter()
-    placed = []
+    zone_counts: collections.Counter[str] = collections.Counter()
+    ranked = []
     for engine in ordered:
-        placed.append((turns[engine.availability_zone], engine))
-        turns[engine.availability_zone] += 1
-    return [engine for _, engine in sorted(placed, key=lambda item: item[0])]
+        ranked.append((zone_counts[engine.availability_zone], engine))
+        zone_counts[engine.availability_zone] += 1
+    return [engine for _, engine in sorted(ranked, key=lambda item: item[0])]
--- a/src/kumquatseam/rollouts/_view.py
+++ b/src/kumquatseam/rollouts/_view.py
@@ -1,4 +1,4 @@
-"""Applying what the holder of the duty tells every instance."""
+"""Applying the rollout notices that the holder of the lease broadcasts."""
 
 import time
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 
 _log = part_logger("rollout")
 
-#: a notice counts for this long; the holder repeats it more often while
-#: engines load, so it lapses only if the holder is gone.
+#: a notice is valid for this long. While engines load the holder repeats it more
+#: often, so it expires only if the holder is gone.
 NOTICE_TTL_S = 1.0
 
 
 class RolloutView:
-    """Keeps work away from engines that load.
+    """Applies notices: keeps new requests away from engines that load or drain.
 
     :param directory: the engines.
     :param targets: the weights named.
@@ -38,22 +38,22 @@
         self._directory = directory
         self._targets = targets
         self._clock = clock
-        self._newest = (-1, -1)
-        self._last: dict[str, RolloutNotice] = {}
-        self._concerned: dict[str, set[str]] = {}
+        self._newest_number = (-1, -1)
+        self._last_progress: dict[str, RolloutNotice] = {}
+        self._affected: dict[str, set[str]] = {}
 
-    def take(self, notice: RolloutNotice) -> bool:
-        """Take in a notice; return whether it was newer than those before."""
+    def apply_notice(self, notice: RolloutNotice) -> bool:
+        """Apply a notice if it is newer than all before; return whether it was."""
         number = (notice.fence, notice.sequence)
-        if number <= self._newest:
+        if number <= self._newest_number:
             return False
-        self._newest = number
+        self._newest_number = number
         age_s = UNKNOWN_AGE_S if notice.named_age_s is None else notice.named_age_s
         weights = WeightsNamed(notice.model, notice.version)
         self._targets.hear(weights, age_s, notice.replaced)
         progress = attrs.evolve(notice, named_age_s=None, sequence=0, orders=())
-        if progress != self._last.get(notice.model):
-            self._last[notice.model] = progress
+        if progress != self._last_progress.get(notice.model):
+            self._last_progress[notice.model] = progress
             _log.bind(
                 holder=notice.sender,
                 fence=notice.fence,
@@ -76,22 +76,22 @@
         return True
 
     def failed_tries(self, weights: WeightsNamed) -> int:
-        """Return how many tries to load some weights failed, as was told."""
-        last = self._last.get(weights.model)
+        """Return how many attempts to load weights failed, by the last notice."""
+        last = self._last_progress.get(weights.model)
         if last is None or last.version != weights.version:
             return 0
         return last.failed_tries
 
     def _apply(self, notice: RolloutNotice) -> None:
-        """Close the engines that load, and reopen those that no longer do.
+        """Block the engines that load, and unblock those that no longer do.
 
-        Only engines that this model's last notice concerned are reopened:
-        others may be loading another model.
+        Only engines named in this model's previous notice are unblocked: others may
+        be loading another model.
         """
         until_s = self._clock() + NOTICE_TTL_S
         loading, closing = set(notice.loading), set(notice.closing)
-        before = self._concerned.get(notice.model, set())
-        self._concerned[notice.model] = loading | closing
+        before = self._affected.get(notice.model, set())
+        self._affected[notice.model] = loading | closing
         for incarnation_id in before | loading | closing:
             status = self._directory.status(incarnation_id)
             if status is None:
@@ -104,20 +104,20 @@
 
 
 class NoticeRelay:
-    """Takes in notices, and hands them on if this instance leads a large fleet.
+    """Applies received notices, and rebroadcasts them if this instance is a leader.
 
-    The holder of the duty may be an instance that only the leaders listen to.
+    In a large fleet the holder's broadcasts may reach the leaders only.
 
-    :param bus: where notices come from and go to.
+    :param bus: receives and sends notices.
     :param view: applies them.
     """
 
     def __init__(self, bus: PeerBus, view: RolloutView) -> None:
         self._bus = bus
         self._view = view
-        bus.on_message(RolloutNotice, self.take)
+        bus.on_message(RolloutNotice, self.apply_notice)
 
-    def take(self, notice: RolloutNotice) -> None:
-        """Take in a notice."""
+    def apply_notice(self, notice: RolloutNotice) -> None:
+        """Apply a notice, and rebroadcast it if it was new and this is a leader."""
         if self._view.apply_notice(notice) and self._bus.view().is_leader:
             self._bus.publish(notice)
