--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -117,7 +117,7 @@
 
 
 @attrs.frozen
-class Told:
+class CallResult:
     """What a caller was told.
 
     :param asked_s: when it asked.
@@ -140,7 +140,7 @@
         status = answer.status
     except urllib3.exceptions.HTTPError:
         status = 0
-    return Told(began_s, status, time.monotonic() - began_s)
+    return CallResult(began_s, status, time.monotonic() - began_s)
 
 
 @given("a stream is being answered by each engine")
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 from feeds_steps import TOPIC, FeedWorld, ModelledInstance
 from modelled_clock import Clock
-from quarantine_world import lone_quarantine
+from quarantine_world import single_instance_quarantine
 
 from kumquatseam.feeds import TopicCopy
 from kumquatseam.leases import DutyLease
@@ -358,7 +358,7 @@
 
 @given("an instance that knows a suspected request from the log")
 def step_suspect(context):
-    quarantine = lone_quarantine()
+    quarantine = single_instance_quarantine()
     side = context.side = Side(SUSPECTS_TOPIC, quarantine.suspects)
     context.suspects = quarantine.suspects
     context.kept = side.store.copy_topics()
--- a/features/steps/matrix_world.py
+++ b/features/steps/matrix_world.py
@@ -6,7 +6,7 @@
 
 import attrs
 from modelled_clock import Clock
-from quarantine_world import lone_quarantine
+from quarantine_world import single_instance_quarantine
 
 from kumquatseam.admission import RetryBudget
 from kumquatseam.admission.team_limiter import TeamLimiter
@@ -226,7 +226,7 @@
             self.budget,
             admission,
             self.running,
-            lone_quarantine(),
+            single_instance_quarantine(),
             clock,
         )
         engines = FakeEngineClient(world)
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -5,7 +5,7 @@
 import attrs
 import gevent.socket
 from behave import given, then, when
-from quarantine_world import lone_quarantine
+from quarantine_world import single_instance_quarantine
 from quota_world import single_instance_quotas
 
 from kumquatseam.admission import RetryBudget
@@ -150,7 +150,7 @@
             lambda service: budget,
             GatewayMetrics(),
             MovingOrders(),
-            lone_quarantine(),
+            single_instance_quarantine(),
             single_instance_quotas(),
         )
     )
--- a/features/steps/own_fault_steps.py
+++ b/features/steps/own_fault_steps.py
@@ -6,7 +6,7 @@
 import gevent.socket
 from behave import given, then, when
 from log_capture import captured_lines
-from quarantine_world import lone_quarantine
+from quarantine_world import single_instance_quarantine
 from quota_world import single_instance_quotas
 
 from kumquatseam.admission import RetryBudget
@@ -86,7 +86,7 @@
             lambda service: budget,
             GatewayMetrics(),
             None,
-            lone_quarantine(),
+            single_instance_quarantine(),
             single_instance_quotas(),
         )
     )
--- a/features/steps/quarantine_fleet.py
+++ b/features/steps/quarantine_fleet.py
@@ -267,7 +267,7 @@
     def _leave_list(self, incarnation_id):
         self.left_list.add(incarnation_id)
         for side in self.up():
-            side.quarantine.note_gone(incarnation_id, False)
+            side.quarantine.note_upstream_gone(incarnation_id, False)
 
     def _tell_broken(self, engine, incarnation_id, run, age_s):
         answering_s = None
--- a/features/steps/quarantine_world.py
+++ b/features/steps/quarantine_world.py
@@ -1,10 +1,10 @@
 """Quarantines without processes."""
 
 from kumquatseam.peers import InstanceRecord, NoDatagrams, RendezvousOrder
-from kumquatseam.quarantine import FewPeersNoticeChannel, Quarantine, QuarantineParts
+from kumquatseam.quarantine import DirectNoticeChannel, Quarantine, QuarantineParts
 
 
-def lone_quarantine():
+def single_instance_quarantine():
     """Return the quarantine of an instance without others, which probes nothing."""
     records = (InstanceRecord("alone", "127.0.0.1:1"),)
     link = NoDatagrams()
@@ -13,7 +13,7 @@
             "alone",
             RendezvousOrder(lambda: records),
             link,
-            FewPeersNoticeChannel(link, list),
+            DirectNoticeChannel(link, list),
             None,
             later=lambda delay_s, function, *arguments: None,
         )
--- a/features/steps/router_crash_steps.py
+++ b/features/steps/router_crash_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 from control_steps import step_controlled_fleet
-from crash_steps import Told
+from crash_steps import CallResult
 from fleet_steps import HTTP, post_completion, prompt_of, wait_for
 
 from kumquatseam.bench._processes import ProgramNotReadyError
@@ -86,7 +86,7 @@
         prompt = f"{CRASHING} {prompt_of(8)}"
         response = post_completion(context, "key-alpha", prompt, False, 4, router)
         body = json.loads(response.read())
-        told = Told(began_s, response.status, time.monotonic() - began_s)
+        told = CallResult(began_s, response.status, time.monotonic() - began_s)
         context.told.append((told, body))
         time.sleep(max(0.0, began_s + SEND_EVERY_S - time.monotonic()))
 
@@ -152,7 +152,7 @@
             f"{router.url}/services/portal/{CRASHING}",
             headers={"Authorization": "Bearer key-alpha"},
         )
-        told = Told(began_s, response.status, time.monotonic() - began_s)
+        told = CallResult(began_s, response.status, time.monotonic() - began_s)
         context.told.append((told, json.loads(response.data)))
         time.sleep(max(0.0, began_s + SEND_EVERY_S - time.monotonic()))
 
--- a/features/steps/waiting_world.py
+++ b/features/steps/waiting_world.py
@@ -5,7 +5,7 @@
 import gevent
 import gevent.server
 import gevent.socket
-from quarantine_world import lone_quarantine
+from quarantine_world import single_instance_quarantine
 from quota_world import single_instance_quotas
 
 from kumquatseam.admission import RetryBudget
@@ -144,7 +144,7 @@
                 lambda service: budget,
                 GatewayMetrics(),
                 None,
-                lone_quarantine(),
+                single_instance_quarantine(),
                 single_instance_quotas(),
             )
         )
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -38,7 +38,7 @@
 def step_gone(context, after_s):
     context.clock.sleep(after_s)
     for engine in context.engines:
-        context.witness.note_gone(engine.incarnation_id, False)
+        context.witness.note_upstream_gone(engine.incarnation_id, False)
 
 
 @then("none of the callers' requests is held to account")
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -161,7 +161,7 @@
         :raises RefusedError: if it may not run now.
         """
         try:
-            self._permission.ask(max(0.0, self._job.remaining_s))
+            self._permission.acquire(max(0.0, self._job.remaining_s))
         except QuarantinedError as error:
             self._give_up(Reason.QUARANTINED, str(error), error.retry_after_s)
 
@@ -289,7 +289,7 @@
         self._parts.pool.drop(placement.status.upstream.address)
         self._events.drop_partial()
         upstream = self._run_upstream(placement)
-        self._permission.note_broken(upstream, self._answering_s())
+        self._permission.note_interrupted(upstream, self._answering_s())
         if self._permission.is_trial:
             # Two upstreams must not crash under what was let run on one.
             self._progress.may_have_run = True
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -378,7 +378,7 @@
         return servers
 
     def _is_ready(self) -> bool:
-        is_informed = self._live.current is not None and self._quarantine.is_informed
+        is_informed = self._live.current is not None and self._quarantine.is_ready
         return is_informed and not self._server.is_stopping
 
     def _read_limits(self) -> RequestLimits:
@@ -404,7 +404,9 @@
     def _forget_upstream(self, upstream) -> None:
         self._index.forget(upstream.incarnation_id)
         self._pool.drop(upstream.address)
-        self._quarantine.note_gone(upstream.incarnation_id, upstream.is_leaving)
+        self._quarantine.note_upstream_gone(
+            upstream.incarnation_id, upstream.is_leaving
+        )
 
     def _size_index(self, table: RouteTable) -> None:
         for store in table.cache_stores:
--- a/src/kumquatseam/quarantine/__init__.py
+++ b/src/kumquatseam/quarantine/__init__.py
@@ -23,7 +23,7 @@
 from kumquatseam.quarantine._publisher import (
     SUSPECTS_TOPIC,
     BusNoticeChannel,
-    FewPeersNoticeChannel,
+    DirectNoticeChannel,
     NoticeChannel,
 )
 from kumquatseam.quarantine._quarantine import Permit, Quarantine, QuarantineParts
@@ -36,7 +36,7 @@
     "BrokenRun",
     "BusNoticeChannel",
     "CrashNotice",
-    "FewPeersNoticeChannel",
+    "DirectNoticeChannel",
     "Liveness",
     "NoticeChannel",
     "Permit",
--- a/src/kumquatseam/quarantine/_publisher.py
+++ b/src/kumquatseam/quarantine/_publisher.py
@@ -61,7 +61,7 @@
         self._bus.publish(notice)
 
 
-class FewPeersNoticeChannel(NoticeChannel):
+class DirectNoticeChannel(NoticeChannel):
     """Notices to every peer, as long as they are few.
 
     Those of a large fleet hear of it from the log service alone, a moment later.
--- a/src/kumquatseam/quarantine/_quarantine.py
+++ b/src/kumquatseam/quarantine/_quarantine.py
@@ -197,12 +197,12 @@
         """Take in that a caller left while a run of its request was under way."""
         self._witness.note_abandoned(run)
 
-    def note_gone(self, incarnation_id: str, was_leaving: bool) -> None:
+    def note_upstream_gone(self, incarnation_id: str, was_leaving: bool) -> None:
         """Take in that an upstream left the list, or started again.
 
         :param was_leaving: whether that was planned.
         """
-        self._witness.note_gone(incarnation_id, was_leaving)
+        self._witness.note_upstream_gone(incarnation_id, was_leaving)
 
     # For other instances.
 
--- a/src/kumquatseam/quarantine/_witness.py
+++ b/src/kumquatseam/quarantine/_witness.py
@@ -90,7 +90,7 @@
             found = self._uncertain[upstream.incarnation_id] = UncertainUpstream()
         return found
 
-    def note_gone(self, incarnation_id: str, was_leaving: bool) -> None:
+    def note_upstream_gone(self, incarnation_id: str, was_leaving: bool) -> None:
         """Take in that an upstream left the list, or started again.
 
         :param was_leaving: whether that was planned.
--- a/src/kumquatseam/serving/_completions.py
+++ b/src/kumquatseam/serving/_completions.py
@@ -212,7 +212,7 @@
         :raises KumquatseamError: if it may not.
         """
         try:
-            permission.ask(RUN_LASTS_S)
+            permission.acquire(RUN_LASTS_S)
         except QuarantinedError as error:
             if attempts.may_have_run:
                 raise UpstreamError(attempts.upstream, True, str(error)) from error
@@ -243,7 +243,7 @@
         )
         # Up to its last token: the end may be noticed much later.
         answering_s = attempts.last_chunk_s - first_s if first_s is not None else None
-        permission.note_broken(upstream, answering_s)
+        permission.note_interrupted(upstream, answering_s)
         if permission.is_trial:
             raise error
 
--- a/src/kumquatseam/serving/_services.py
+++ b/src/kumquatseam/serving/_services.py
@@ -150,7 +150,7 @@
         :raises KumquatseamError: if it may not.
         """
         try:
-            permission.ask(RUN_LASTS_S)
+            permission.acquire(RUN_LASTS_S)
         except QuarantinedError as error:
             if started:
                 raise UpstreamError(service.name, True, str(error)) from error
@@ -167,7 +167,7 @@
             return
         incarnation = f"{url}@{int(time.time() // REPLICA_START_S)}"
         address = urllib.parse.urlsplit(url).netloc
-        permission.note_broken(RunUpstream(incarnation, address), None)
+        permission.note_interrupted(RunUpstream(incarnation, address), None)
         if permission.is_trial:
             raise error
 
--- a/src/kumquatseam/wiring.py
+++ b/src/kumquatseam/wiring.py
@@ -56,7 +56,7 @@
 )
 from kumquatseam.quarantine import (
     DATAGRAM_KINDS,
-    FewPeersNoticeChannel,
+    DirectNoticeChannel,
     Quarantine,
     QuarantineParts,
 )
@@ -166,7 +166,7 @@
         if self._membership is not None:
             link = DatagramSocket(routers.own_address, DATAGRAM_KINDS)
             self._quarantine_parts.append(link)
-        channel = FewPeersNoticeChannel(link, routers.peer_addresses)
+        channel = DirectNoticeChannel(link, routers.peer_addresses)
         quarantine = Quarantine(
             QuarantineParts(name, RendezvousOrder(routers.all), link, channel, log)
         )
