--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -1,33 +1,26 @@
-Feature: A request that crashes the engines that run it
-  Engines ended one after the other, twelve within twelve seconds, and with each
-  of them all that ran there. Every time one of the requests cut off had 1,254
-  prompt tokens, 184 of them shared, came in at another instance, and was 40 to
-  550 ms old: a caller asked for the same again and again, and it crashed whatever
-  began to run it. No instance remembered what had been on an engine that ended,
-  so each sent it to the next one; where a request may be repeated, the instance
-  did so itself.
-
-  One crash says little, since whatever was being begun there may have done it.
-  What settled it were two log lines of each instance: "Placed." with the same
-  counts on a fresh engine, and "Attempt failed. connection closed" for it and for
-  all others on that engine; nothing else was on all twelve. The first scenario
-  here that is not about the log had 15 arrivals over three seconds after the third
-  crash, and 26 crashes in nine seconds. Now instances count crashes together, let
-  a request run alone after two, and refuse it after three.
-
-  Scenario: The log tells what was on an engine when it ended
-    Given 1 gateway before 3 engines, and a request that crashes each that runs it
+Feature: Requests that crash the engines that run them
+  A caller may repeat a request that crashes every engine that starts to run it. An
+  instance that does not know of the crashes sends each repeat to another engine, or
+  retries it there itself, and every crash also interrupts all other runs on that
+  engine: 12 engines crashed in 12 seconds under one request.
+
+  One crash does not identify the request, since any run that had just started may
+  be the cause. So instances count the crashes under each request together, run it
+  only on trial after two, and refuse it after three.
+
+  Scenario: The log identifies the requests on an engine that crashed
+    Given 1 gateway in front of 3 engines, and a request that crashes each of them that runs it
     And a stream is being answered by each engine
     When callers send the crashing request 2 times
-    Then both failures are logged with one fingerprint, and without a first event
-    And the streams cut with them are logged with others, and with a first event
+    Then both failures are logged with the same fingerprint, and without a first event
+    And the interrupted streams are logged with other fingerprints, and with a first event
 
-  Scenario Outline: Once it has crashed three, it is kept from the others
-    Given 3 gateways before 8 <replicas>, and a request that crashes each that runs it
+  Scenario Outline: A request that crashed three replicas is kept from the others
+    Given 3 gateways in front of 8 <replicas>, and a request that crashes each of them that runs it
     When callers send it to "<path>" for 9 seconds, to each gateway in turn
     Then at most 3 of them reached a replica over 3 seconds after the third crash
-    And its last 8 callers were told at once that it had not run
-    And whatever else was asked after the last crash was served
+    And its last 8 callers received an immediate refusal
+    And all other requests sent after the last crash were served
 
     Examples:
       | replicas        | path             |
@@ -35,53 +28,53 @@
       | engines         | /resume/crashing |
       | plain replicas  | /safe/crashing   |
 
-  Scenario: Its callers leave before the engines crash
-    A caller that leaves has its connection to the engine closed, and so the end of
-    the run was seen by nobody; the engine crashed all the same, 35 of them in twelve
-    seconds, without a line "Crash counted.". What such a caller had just begun is under suspicion as well if the
-    engine leaves the list soon after.
+  Scenario: The callers disconnect before the engines crash
+    An instance whose caller disconnects closes its connection to the engine and
+    cannot observe how the run ends. While such runs were not counted, 35 engines
+    crashed in 12 seconds, and no crash was logged. So a run whose caller disconnected
+    is also suspected if its engine leaves the list soon afterwards.
 
-    Given 3 gateways before 8 engines, and a request that crashes each that runs it
-    When callers send it to "/once/crashing" for 12 seconds, and leave after 30 ms
+    Given 3 gateways in front of 8 engines, and a request that crashes each of them that runs it
+    When callers send it to "/once/crashing" for 12 seconds, and disconnect after 30 ms
     Then at most 3 of them reached a replica over 3 seconds after the third crash
-    And whatever else was asked after the last crash was served
+    And all other requests sent after the last crash were served
 
-  Scenario: All instances are killed at once and start again
-    Given 3 gateways before 8 engines, and a request that crashes each that runs it
+  Scenario: The quarantine survives a restart of all instances at once
+    Given 3 gateways in front of 8 engines, and a request that crashes each of them that runs it
     When callers send it to "/once/crashing" for 2 seconds, to each gateway in turn
-    And all gateways are killed at once and start again
+    And all gateways are killed at once and restarted
     And callers send it to "/once/crashing" for 4 seconds, to each gateway in turn
-    Then it reached no replica since they started again
-    And its last 8 callers were told at once that it had not run
-    And whatever else was asked since they started again was served
+    Then it reached no replica since the restart
+    And its last 8 callers received an immediate refusal
+    And all other requests sent since the restart were served
 
-  Scenario: The product's own interface keeps engines from it as well
+  Scenario: Routers keep engines from a prompt that crashes them
     Given a fleet of 3 routers and 6 engines that a prompt crashes, which start again
     When routers are sent that prompt 16 times, each in turn
     Then at most 6 of them crashed
     And the last 4 callers were told at once that it was not run
     And other prompts are answered
 
-  Scenario: And so it does plain services
+  Scenario: Routers keep plain services from a call that crashes them
     Given a fleet of 2 routers before a plain service of 4 replicas that a call crashes, which start again
     When routers are sent that call 16 times, each in turn
     Then at most 6 of them crashed
     And the last 4 callers were told at once that it was not run
     And other calls are answered
 
-  Scenario: Callers that leave cost nothing while engines live
-    Given an instance that watches 20 engines
-    When 8000 callers of as many requests leave within 16 seconds
-    Then no engine was probed, and at most 128 requests each are remembered
+  Scenario: Callers that disconnect cause no probes while the engines run
+    Given an instance that tracks runs on 20 engines
+    When 8000 callers, each with its own request, disconnect within 16 seconds
+    Then no engine was probed, and at most 128 requests per engine are remembered
     When the engines leave the list 6 seconds later
-    Then none of the callers' requests is held to account
+    Then no crash is reported for the callers' requests
 
-  Scenario Outline: However many instances there are
-    Given <count> instances before 12 engines, one request crashes them
-    When it comes again and again for 8 seconds
+  Scenario Outline: The number of crashes does not depend on the number of instances
+    Given <count> instances in front of 12 engines, and a request that crashes them
+    When it is repeated for 8 seconds
     Then it reached engines at most 3 times, and crashed at most 3
-    And whoever asks for it is refused at once, and told to come back in 30 s
-    When it comes again and again for 90 seconds
+    And it is refused at once by every instance, with a retry delay of 30 s
+    When it is repeated for 90 seconds
     Then over 3 seconds after the third crash at most 1 reached an engine
 
     Examples:
@@ -91,10 +84,10 @@
       | 195   |
       | 860   |
 
-  Scenario Outline: Its copies come at once
-    Given <count> instances before 12 engines, one request crashes them
+  Scenario Outline: Several copies of the request arrive at once
+    Given <count> instances in front of 12 engines, and a request that crashes them
     When it has crashed 2 engines
-    And it comes 7 times at the same moment, at as many instances
+    And it is sent 7 times at once, each time to another instance
     Then it reached engines at most 3 times, and crashed at most 3
 
     Examples:
@@ -102,38 +95,38 @@
       | 7     |
       | 195   |
 
-  Scenario: The ends of its runs are noticed when its engines have started again
-    Given 7 instances before 12 engines, one request crashes them
-    When it comes 8 times, every 6 seconds, and each end is noticed 5 seconds late
+  Scenario: Crashes are noticed only after the engines have restarted
+    Given 7 instances in front of 12 engines, and a request that crashes them
+    When it is sent 8 times, every 6 seconds, and each crash is noticed 5 seconds late
     Then it reached engines at most 3 times, and crashed at most 3
 
-  Scenario Outline: Instances are restarted, killed or cut off meanwhile
-    Given <count> instances before 12 engines, one request crashes them
+  Scenario Outline: Instances are restarted, killed or cut off between crashes
+    Given <count> instances in front of 12 engines, and a request that crashes them
     When it has crashed <crashes> engines
     And <fault>
-    And it comes again and again for 25 seconds
+    And it is repeated for 25 seconds
     Then over 3 seconds after the third crash at most 3 reached an engine
 
     Examples:
-      | count | crashes | fault                                               |
-      | 7     | 1       | all instances are killed at once and start again    |
-      | 7     | 2       | all instances are killed at once and start again    |
-      | 7     | 3       | all instances are killed at once and start again    |
-      | 195   | 1       | all instances are killed at once and start again    |
-      | 195   | 2       | all instances are killed at once and start again    |
-      | 195   | 3       | all instances are killed at once and start again    |
-      | 7     | 1       | 60 percent of the instances are killed and stay away |
-      | 195   | 2       | 60 percent of the instances are killed and stay away |
-      | 7     | 1       | a third of the instances cannot reach the log service |
-      | 195   | 2       | a third of the instances cannot reach the log service |
-      | 7     | 1       | nobody can reach the log service                    |
-      | 195   | 1       | nobody can reach the log service                    |
-      | 7     | 0       | one message in 10 is lost, and no notice arrives    |
-      | 195   | 0       | one message in 10 is lost, and no notice arrives    |
-
-  Scenario Outline: Every instance is restarted in turn meanwhile
-    Given <count> instances before 12 engines, one request crashes them
-    When it comes for 25 seconds, and each second an instance starts again
+      | count | crashes | fault                                                    |
+      | 7     | 1       | all instances are killed at once and restarted           |
+      | 7     | 2       | all instances are killed at once and restarted           |
+      | 7     | 3       | all instances are killed at once and restarted           |
+      | 195   | 1       | all instances are killed at once and restarted           |
+      | 195   | 2       | all instances are killed at once and restarted           |
+      | 195   | 3       | all instances are killed at once and restarted           |
+      | 7     | 1       | 60 percent of the instances are killed and not restarted |
+      | 195   | 2       | 60 percent of the instances are killed and not restarted |
+      | 7     | 1       | a third of the instances cannot reach the log service    |
+      | 195   | 2       | a third of the instances cannot reach the log service    |
+      | 7     | 1       | no instance can reach the log service                    |
+      | 195   | 1       | no instance can reach the log service                    |
+      | 7     | 0       | one message in 10 is lost, and no broadcast arrives      |
+      | 195   | 0       | one message in 10 is lost, and no broadcast arrives      |
+
+  Scenario Outline: A rolling restart of all instances between crashes
+    Given <count> instances in front of 12 engines, and a request that crashes them
+    When it is sent repeatedly for 25 seconds, and each second an instance is restarted
     Then over 3 seconds after the third crash at most 3 reached an engine
 
     Examples:
@@ -141,28 +134,27 @@
       | 7     |
       | 195   |
 
-  Scenario Outline: A harmless request whose engines crashed of something else
-    Given 7 instances before 12 engines, one request crashes them
-    When <crashes> engines crash one after the other while they begin a harmless one
-    Then the harmless one is served when it comes again
-    And it is no longer under suspicion anywhere
+  Scenario Outline: A harmless request on engines that crash for another reason
+    Given 7 instances in front of 12 engines, and a request that crashes them
+    When <crashes> engines crash one after the other while they start a harmless request
+    Then the harmless request is served when it is repeated
+    And no instance suspects the harmless request any longer
 
     Examples:
       | crashes |
       | 1       |
       | 2       |
 
-  Scenario Outline: Engines lose power together while they begin what everyone asks for
-    Engines that end at the same moment say nothing of what was common to them: a
-    rack without power ends all that it holds. Counted one by one, six of them had a
-    harmless request refused for a day ("Request suspected." with refused_for_s of
-    86,400). So only an engine that crashes while the request runs on trial, as the
-    only copy of it, counts as proof.
+  Scenario Outline: Engines lose power at once while they start a popular request
+    Simultaneous crashes are no evidence against a request that all the engines had
+    just started: the cause may be a rack that lost power. While each crash counted,
+    six of them had a harmless request refused for a day (refused_for_s of 86,400).
+    So only crashes on trial, when the request runs as a single copy, lead to refusal.
 
-    Given <count> instances before 12 engines, one request crashes them
-    When <crashes> engines crash at once while they begin a harmless one
-    Then the harmless one is served when it comes again
-    And it is no longer under suspicion anywhere
+    Given <count> instances in front of 12 engines, and a request that crashes them
+    When <crashes> engines crash at once while they start a harmless request
+    Then the harmless request is served when it is repeated
+    And no instance suspects the harmless request any longer
 
     Examples:
       | count | crashes |
@@ -170,10 +162,10 @@
       | 7     | 6       |
       | 195   | 10      |
 
-  Scenario Outline: Many copies of it crash as many engines at once
-    Given <count> instances before 12 engines, one request crashes them
-    When it comes 7 times at the same moment, at as many instances
-    And it comes again and again for 400 seconds
+  Scenario Outline: Several copies of the request crash as many engines at once
+    Given <count> instances in front of 12 engines, and a request that crashes them
+    When it is sent 7 times at once, each time to another instance
+    And it is repeated for 400 seconds
     Then over 3 seconds after the third crash at most 3 reached an engine
 
     Examples:
@@ -181,32 +173,32 @@
       | 7     |
       | 30    |
 
-  Scenario: Three crashes of something else cost a harmless request half a minute
-    Given 7 instances before 12 engines, one request crashes them
-    When 3 engines crash one after the other while they begin a harmless one
-    Then the harmless one is served within 31 seconds
-    And it is no longer under suspicion anywhere
+  Scenario: Three unrelated crashes delay a harmless request by half a minute
+    Given 7 instances in front of 12 engines, and a request that crashes them
+    When 3 engines crash one after the other while they start a harmless request
+    Then the harmless request is served within 31 seconds
+    And no instance suspects the harmless request any longer
 
-  Scenario: A neighbour in the same batch is not held to account
-    Given 7 instances before 12 engines, one request crashes them
-    When a neighbour is just being begun on each of the first 2 that it crashes
+  Scenario: A harmless request in the same batch is not blamed
+    Given 7 instances in front of 12 engines, and a request that crashes them
+    When a harmless request has just started on each of the first 2 that it crashes
     And it has crashed 3 engines
-    Then the harmless one is served when it comes again
-    And it was never refused
-    And it is no longer under suspicion anywhere
+    Then the harmless request is served when it is repeated
+    And the harmless request was never refused
+    And no instance suspects the harmless request any longer
 
-  Scenario Outline: What everyone asks for is on engines that crash now and then
-    Given <count> instances before 12 engines, one request crashes them
-    When what everyone asks for is on 6 engines that crash, and served between
-    Then it was never refused
+  Scenario Outline: A popular request runs on engines that crash occasionally
+    Given <count> instances in front of 12 engines, and a request that crashes them
+    When a popular request runs on 6 engines that crash, and is served in between
+    Then the harmless request was never refused
 
     Examples:
       | count |
       | 7     |
       | 195   |
 
-  Scenario Outline: What a crash costs does not depend on the size of the fleet
-    Given <count> instances before 40 engines, one request crashes them
+  Scenario Outline: The messages per crash do not depend on the size of the fleet
+    Given <count> instances in front of 40 engines, and a request that crashes them
     When 20 requests each crash 3 engines
     Then a crash took at most 14 datagrams on average, none over 400 bytes
 
@@ -216,14 +208,14 @@
       | 195   |
       | 860   |
 
-  Scenario: What is known stays bounded
-    Given 7 instances before 40 engines, one request crashes them
+  Scenario: The number of suspected requests is bounded
+    Given 7 instances in front of 40 engines, and a request that crashes them
     When 400 requests each crash 2 engines
-    Then no instance knows of more than 256 requests, nor the log service of 512
+    Then no instance lists more than 256 requests, nor the log service more than 512
 
-  Scenario Outline: Whatever is killed, restarted, cut off, lost or repeated
+  Scenario Outline: Random restarts, failures, and lost or duplicated messages
     Given a fleet of <count> with a crashing request, explored with seed <seed>
-    When it comes for 60 seconds while random things happen
+    When it is sent repeatedly for 60 seconds during random events
     Then over 3 seconds after the third crash at most 3 reached an engine
     And at most 5 of 100 harmless requests were refused
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -11,34 +11,34 @@
 from platform_steps import step_platform
 from platform_world import wait_until
 
-#: in the path of the request that crashes whatever runs it.
+#: part of the path of requests that crash the replica that runs them.
 CRASHING = "crashing"
-#: how long an engine takes to start again after a crash.
+#: time until a crashed replica has restarted.
 RESTART_S = 0.4
-#: and its entry to leave the list: a few heartbeats.
-LAPSE_S = 0.6
-#: events of a whole stream, which takes a second.
+#: time until its entry leaves the list: a few heartbeats.
+LIST_EXPIRY_S = 0.6
+#: events of a complete stream, which takes a second.
 EVENTS = 20
 #: pause between two crashing requests.
-SEND_EVERY_S = 0.35
-#: a refusal that waits for nothing takes less.
-AT_ONCE_S = 0.25
-#: streams tried until each engine has one.
+SEND_INTERVAL_S = 0.35
+#: a refusal that waits for no other instance takes less than this.
+MAX_REFUSAL_S = 0.25
+#: maximum number of streams started until each engine has one.
 MAX_STREAMS = 40
 
 
 class CrashingReplicas:
-    """Replicas that a request crashes, and that start again under new ids.
+    """Replicas that crash on a request and restart under new ids.
 
     :param world: the stand-ins (``PlatformWorld``).
     :param service: the service they belong to.
-    :param count: how many there are.
+    :param count: number of replicas.
     """
 
     def __init__(self, world, service, count):
         self.world = world
         self.service = service
-        self.crashed_s = []
+        self.crash_times_s = []
         self.timers = []
         world.on_close.append(self.close)
         for number in range(count):
@@ -56,25 +56,25 @@
         replica.on_crash = self._note_crash
 
     def _note_crash(self, replica):
-        self.crashed_s.append(time.monotonic())
-        self._later(LAPSE_S, self.world.unlist_replica, replica.upstream_id)
-        self._later(RESTART_S, self._add, f"{replica.upstream_id}b")
+        self.crash_times_s.append(time.monotonic())
+        self._call_later(LIST_EXPIRY_S, self.world.unlist_replica, replica.upstream_id)
+        self._call_later(RESTART_S, self._add, f"{replica.upstream_id}b")
 
-    def _later(self, delay_s, function, *arguments):
+    def _call_later(self, delay_s, function, *arguments):
         timer = threading.Timer(delay_s, function, arguments)
         timer.daemon = True
         self.timers.append(timer)
         timer.start()
 
     def close(self):
-        """Let no further replica start."""
+        """Cancel the pending restarts."""
         for timer in self.timers:
             timer.cancel()
         for timer in self.timers:
             timer.join()
 
-    def arrivals_s(self):
-        """Return when each crashing request reached a replica, in order."""
+    def arrival_times_s(self):
+        """Return the sorted times at which crashing requests reached replicas."""
         seen = [s for r in list(self.world.replicas.values()) for s in list(r.seen)]
         return sorted(s.began_s for s in seen if CRASHING in s.path)
 
@@ -90,27 +90,27 @@
     world.name_weights(1)
     for _ in range(gateways):
         world.add_gateway()
-    context.told = []
+    context.results = []
     context.harmless = []
     context.callers = futures.ThreadPoolExecutor(MAX_STREAMS)
     world.on_close.append(lambda: context.callers.shutdown(cancel_futures=True))
 
 
 @given(
-    "{gateways:d} gateway before {count:d} engines, and a request that crashes "
-    "each that runs it"
+    "{gateways:d} gateway in front of {count:d} engines, and a request that crashes "
+    "each of them that runs it"
 )
 @given(
-    "{gateways:d} gateways before {count:d} engines, and a request that crashes "
-    "each that runs it"
+    "{gateways:d} gateways in front of {count:d} engines, and a request that crashes "
+    "each of them that runs it"
 )
 def step_engines(context, gateways, count):
     _build(context, gateways, "engines", count)
 
 
 @given(
-    "{gateways:d} gateways before {count:d} plain replicas, and a request that "
-    "crashes each that runs it"
+    "{gateways:d} gateways in front of {count:d} plain replicas, and a request that "
+    "crashes each of them that runs it"
 )
 def step_plain(context, gateways, count):
     _build(context, gateways, "plain", count)
@@ -118,11 +118,11 @@
 
 @attrs.frozen
 class CallResult:
-    """What a caller was told.
+    """Outcome of one request.
 
-    :param asked_s: when it asked.
-    :param status: the answer's status; 0 for none.
-    :param took_s: how long it took.
+    :param asked_s: clock reading when it was sent.
+    :param status: status of the response; 0 if there was none.
+    :param took_s: time until the outcome.
     """
 
     asked_s: float
@@ -131,7 +131,7 @@
 
 
 def send(world, path, number=0, gateway=0, **options):
-    """Send one request; return what its caller was told."""
+    """Send one request; return its outcome."""
     method = "GET" if path.startswith("/safe/") else "POST"
     headers = {} if method == "GET" else world.stream_headers(f"{number:08x}")
     began_s = time.monotonic()
@@ -157,7 +157,7 @@
             "the stream runs",
             lambda: sum(e.running for e in engines) > total,  # noqa: B023
         )
-    raise AssertionError("an engine got no stream")
+    raise AssertionError("not every engine received a stream")
 
 
 @when("callers send the crashing request {count:d} times")
@@ -171,13 +171,15 @@
     _send_in_turn(context, path, for_s)
 
 
-@when('callers send it to "{path}" for {for_s:d} seconds, and leave after {ms:d} ms')
+@when(
+    'callers send it to "{path}" for {for_s:d} seconds, and disconnect after {ms:d} ms'
+)
 def step_send_and_leave(context, path, for_s, ms):
     _send_in_turn(context, path, for_s, timeout=ms / 1000.0)
 
 
 def _send_in_turn(context, path, for_s, **options):
-    """Between two of them something harmless is sent the same way."""
+    """Send the crashing request at intervals, each followed by a harmless one."""
     world = context.platform
     folder = path.rpartition("/")[0]
     end_s = time.monotonic() + for_s
@@ -186,24 +188,28 @@
         if began_s >= end_s:
             return
         gateway = number % len(world.gateways)
-        context.told.append(send(world, path, gateway=gateway, **options))
+        context.results.append(send(world, path, gateway=gateway, **options))
         harmless = (world, f"{folder}/{number}", number, gateway)
         context.harmless.append(context.callers.submit(send, *harmless))
-        time.sleep(max(0.0, began_s + SEND_EVERY_S - time.monotonic()))
+        time.sleep(max(0.0, began_s + SEND_INTERVAL_S - time.monotonic()))
 
 
 @then(
     "at most {count:d} of them reached a replica over {late_s:d} seconds after the "
     "third crash"
 )
-def step_kept_away(context, count, late_s):
-    crashed_s = context.replicas.crashed_s
-    assert len(crashed_s) >= 3, "it crashed too few to tell"
-    late = [s for s in context.replicas.arrivals_s() if s > crashed_s[2] + late_s]
-    assert len(late) <= count, f"{len(late)} arrived, {len(crashed_s)} crashed"
-
-
-@when("all gateways are killed at once and start again")
+def step_late_arrivals(context, count, late_s):
+    crash_times_s = context.replicas.crash_times_s
+    assert len(crash_times_s) >= 3, "fewer than 3 replicas crashed"
+    late = [
+        s for s in context.replicas.arrival_times_s() if s > crash_times_s[2] + late_s
+    ]
+    assert len(late) <= count, (
+        f"{len(late)} late arrivals, {len(crash_times_s)} crashes"
+    )
+
+
+@when("all gateways are killed at once and restarted")
 def step_killed(context):
     gateways = context.platform.gateways
     for gateway in gateways:
@@ -215,34 +221,34 @@
     context.started_again_s = time.monotonic()
 
 
-@then("it reached no replica since they started again")
+@then("it reached no replica since the restart")
 def step_none_since(context):
     since_s = context.started_again_s
-    late = [s for s in context.replicas.arrivals_s() if s >= since_s]
+    late = [s for s in context.replicas.arrival_times_s() if s >= since_s]
     assert not late, late
 
 
-@then("its last {count:d} callers were told at once that it had not run")
-def step_told_at_once(context, count):
-    last = context.told[-count:]
-    assert all(told.status == 503 for told in last), last
-    assert all(told.took_s < AT_ONCE_S for told in last), last
+@then("its last {count:d} callers received an immediate refusal")
+def step_refused_at_once(context, count):
+    last = context.results[-count:]
+    assert all(result.status == 503 for result in last), last
+    assert all(result.took_s < MAX_REFUSAL_S for result in last), last
 
 
-@then("whatever else was asked after the last crash was served")
+@then("all other requests sent after the last crash were served")
 def step_rest_served(context):
-    _check_served(context, context.replicas.crashed_s[-1])
+    _check_served(context, context.replicas.crash_times_s[-1])
 
 
-@then("whatever else was asked since they started again was served")
+@then("all other requests sent since the restart were served")
 def step_rest_served_since(context):
     _check_served(context, context.started_again_s)
 
 
 def _check_served(context, since_s):
-    told = [future.result() for future in context.harmless]
-    late = [t for t in told if t.asked_s > since_s]
-    assert len(late) > 5, told
+    results = [future.result() for future in context.harmless]
+    late = [t for t in results if t.asked_s > since_s]
+    assert len(late) > 5, results
     assert all(t.status == 200 for t in late), late
 
 
@@ -258,12 +264,12 @@
 
 
 def _failures_of(context, ids, least):
-    """Return the failures of some requests, if there are at least so many."""
+    """Return the failures of some requests, ``None`` if fewer than ``least``."""
     found = [line for line in _failures(context) if line["request"] in ids]
     return found if len(found) >= least else None
 
 
-@then("both failures are logged with one fingerprint, and without a first event")
+@then("both failures are logged with the same fingerprint, and without a first event")
 def step_one_fingerprint(context):
     ids = _crashing_ids(context)
     found = wait_until("both are logged", lambda: _failures_of(context, ids, 2))
@@ -274,7 +280,9 @@
     context.crashing = found[0]["fingerprint"]
 
 
-@then("the streams cut with them are logged with others, and with a first event")
+@then(
+    "the interrupted streams are logged with other fingerprints, and with a first event"
+)
 def step_other_fingerprints(context):
     crashing = _crashing_ids(context)
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -6,54 +6,59 @@
 from quarantine_fleet import QuarantineFleet
 
 CRASHING = "crashing"
-#: pause between two of its repeats, and while they come something else is asked.
-EVERY_S = 0.25
+#: pause between two repeats of the crashing request.
+SEND_INTERVAL_S = 0.25
 
 
-@given("{count:d} instances before {engines:d} engines, one request crashes them")
+@given(
+    "{count:d} instances in front of {engines:d} engines, and a request that crashes "
+    "them"
+)
 def step_fleet(context, count, engines):
     context.fleet_under_crash = QuarantineFleet(count, engines)
     context.fleet_under_crash.crashing.add(CRASHING)
 
 
 def _repeat(fleet, for_s, between=lambda number: None):
-    """Send the crashing request again and again."""
+    """Repeat the crashing request; call ``between`` before each repeat."""
     end_s = fleet.clock() + for_s
     for number in itertools.count():
         if fleet.clock() >= end_s:
             return
         between(number)
         fleet.send(CRASHING)
-        fleet.run(EVERY_S)
+        fleet.run(SEND_INTERVAL_S)
 
 
 def _crash_times(fleet, count):
-    """Send the crashing request until it has crashed so many engines."""
+    """Send the crashing request until it has crashed ``count`` engines."""
     while len(fleet.crashes.get(CRASHING, [])) < count:
         fleet.send(CRASHING)
-        fleet.run(EVERY_S)
+        fleet.run(SEND_INTERVAL_S)
 
 
-@when("it comes again and again for {for_s:d} seconds")
+@when("it is repeated for {for_s:d} seconds")
 def step_repeat(context, for_s):
     _repeat(context.fleet_under_crash, for_s)
 
 
-@when("it comes {count:d} times at the same moment, at as many instances")
+@when("it is sent {count:d} times at once, each time to another instance")
 def step_at_once(context, count):
     fleet = context.fleet_under_crash
-    for side in fleet.draw.sample(fleet.up(), min(count, len(fleet.up()))):
-        fleet.net.call_later(0.001, fleet.send, CRASHING, side)
+    for instance in fleet.rng.sample(
+        fleet.running_instances(), min(count, len(fleet.running_instances()))
+    ):
+        fleet.net.call_later(0.001, fleet.send, CRASHING, instance)
     fleet.run(1.0)
 
 
 @when(
-    "it comes {count:d} times, every {every_s:d} seconds, and each end is noticed "
+    "it is sent {count:d} times, every {every_s:d} seconds, and each crash is noticed "
     "{late_s:d} seconds late"
 )
 def step_noticed_late(context, count, every_s, late_s):
     fleet = context.fleet_under_crash
-    fleet.noticed_after_s = late_s
+    fleet.detection_delay_s = late_s
     for _ in range(count):
         fleet.send(CRASHING)
         fleet.run(every_s)
@@ -65,10 +70,13 @@
     _crash_times(context.fleet_under_crash, count)
 
 
-@when("it comes for {for_s:d} seconds, and each second an instance starts again")
+@when(
+    "it is sent repeatedly for {for_s:d} seconds, and each second an instance is "
+    "restarted"
+)
 def step_rolling(context, for_s):
     fleet = context.fleet_under_crash
-    turn = itertools.cycle(fleet.sides)
+    turn = itertools.cycle(fleet.instances)
 
     def between(number):
         if number % 4 == 0:
@@ -77,38 +85,38 @@
     _repeat(fleet, for_s, between)
 
 
-@when("all instances are killed at once and start again")
-def step_herd(context):
+@when("all instances are killed at once and restarted")
+def step_restart_all(context):
     fleet = context.fleet_under_crash
-    fleet.kill(fleet.sides)
+    fleet.kill(fleet.instances)
     fleet.run(0.5)
-    fleet.restart(fleet.sides)
+    fleet.restart(fleet.instances)
 
 
-@when("{share:d} percent of the instances are killed and stay away")
+@when("{share:d} percent of the instances are killed and not restarted")
 def step_kill_share(context, share):
     fleet = context.fleet_under_crash
-    fleet.kill(fleet.draw.sample(fleet.sides, len(fleet.sides) * share // 100))
+    fleet.kill(fleet.rng.sample(fleet.instances, len(fleet.instances) * share // 100))
 
 
 @when("a third of the instances cannot reach the log service")
-def step_cut(context):
+def step_partial_log_outage(context):
     fleet = context.fleet_under_crash
-    for side in fleet.draw.sample(fleet.sides, len(fleet.sides) // 3):
-        side.faults.down = True
+    for instance in fleet.rng.sample(fleet.instances, len(fleet.instances) // 3):
+        instance.faults.down = True
 
 
-@when("nobody can reach the log service")
-def step_outage(context):
-    for side in context.fleet_under_crash.sides:
-        side.faults.down = True
+@when("no instance can reach the log service")
+def step_log_outage(context):
+    for instance in context.fleet_under_crash.instances:
+        instance.faults.down = True
 
 
-@when("one message in {count:d} is lost, and no notice arrives")
-def step_losses(context, count):
+@when("one message in {count:d} is lost, and no broadcast arrives")
+def step_message_loss(context, count):
     fleet = context.fleet_under_crash
     fleet.net.loss = 1 / count
-    fleet.lost_notices = 1.0
+    fleet.notice_loss_ratio = 1.0
 
 
 @then("it reached engines at most {most:d} times, and crashed at most {crashes:d}")
@@ -119,29 +127,31 @@
 
 
 @then("over 3 seconds after the third crash at most {most:d} reached an engine")
-def step_late(context, most):
+def step_late_arrivals(context, most):
     fleet = context.fleet_under_crash
-    assert len(fleet.crashes[CRASHING]) >= 3, "it crashed too few to tell"
+    assert len(fleet.crashes[CRASHING]) >= 3, "fewer than 3 engines crashed"
     late = fleet.late_arrivals(CRASHING, 3.0)
     assert len(late) <= most, (len(late), fleet.crashes)
 
 
-@then("whoever asks for it is refused at once, and told to come back in {most_s:d} s")
-def step_told(context, most_s):
+@then("it is refused at once by every instance, with a retry delay of {most_s:d} s")
+def step_refused_at_once(context, most_s):
     fleet = context.fleet_under_crash
-    for side in fleet.up():
+    for instance in fleet.running_instances():
         began_s = fleet.clock()
-        assert not fleet.send(CRASHING, side)
-        assert fleet.clock() == began_s, "it waited for others"
+        assert not fleet.send(CRASHING, instance)
+        assert fleet.clock() == began_s, (
+            "the refusal waited for an answer of another instance"
+        )
     _, _, retry_after_s = fleet.refused[-1]
     assert most_s - 10 < retry_after_s <= most_s, retry_after_s
 
 
-# What is harmless.
+# Harmless requests.
 
 
-@when("{count:d} engines crash one after the other while they begin a harmless one")
-def step_unlucky(context, count):
+@when("{count:d} engines crash one after the other while they start a harmless request")
+def step_sequential_crashes(context, count):
     fleet = context.fleet_under_crash
     for _ in range(count):
         engine = next(e for e in fleet.engines if e.is_up)
@@ -151,10 +161,10 @@
         fleet.run(1.0)
 
 
-@when("{count:d} engines crash at once while they begin a harmless one")
-def step_together(context, count):
+@when("{count:d} engines crash at once while they start a harmless request")
+def step_simultaneous_crashes(context, count):
     fleet = context.fleet_under_crash
-    engines = fleet.draw.sample(fleet.engines, count)
+    engines = fleet.rng.sample(fleet.engines, count)
     for engine in engines:
         assert fleet.send("harmless", engine=engine), fleet.refused
     fleet.run(0.05)
@@ -163,7 +173,7 @@
     fleet.run(4.0)
 
 
-@then("the harmless one is served when it comes again")
+@then("the harmless request is served when it is repeated")
 def step_harmless_served(context):
     fleet = context.fleet_under_crash
     assert fleet.send("harmless"), fleet.refused
@@ -171,8 +181,8 @@
     assert "harmless" in {fingerprint for _, fingerprint in fleet.served}
 
 
-@then("the harmless one is served within {within_s:d} seconds")
-def step_harmless_later(context, within_s):
+@then("the harmless request is served within {within_s:d} seconds")
+def step_harmless_served_within(context, within_s):
     fleet = context.fleet_under_crash
     end_s = fleet.clock() + within_s
     while fleet.clock() < end_s and not fleet.send("harmless"):
@@ -181,29 +191,33 @@
     assert "harmless" in {fingerprint for _, fingerprint in fleet.served}
 
 
-@then("it is no longer under suspicion anywhere")
+@then("no instance suspects the harmless request any longer")
 def step_cleared(context):
     fleet = context.fleet_under_crash
     fleet.run(4.0)
-    for side in fleet.up():
-        assert not side.quarantine.suspects.is_suspected("harmless")
+    for instance in fleet.running_instances():
+        assert not instance.quarantine.suspects.is_suspected("harmless")
     kept = fleet.store.newest("keyed.kumquatseam.suspects").records
     assert [r.key for r in kept if r.value] in ([], [CRASHING]), kept
 
 
-@when("a neighbour is just being begun on each of the first {count:d} that it crashes")
-def step_neighbour(context, count):
+@when(
+    "a harmless request has just started on each of the first {count:d} that it crashes"
+)
+def step_concurrent_harmless(context, count):
     fleet = context.fleet_under_crash
     for _ in range(count):
         engine = next(e for e in fleet.engines if e.is_up)
         assert fleet.send("harmless", engine=engine), fleet.refused
         fleet.run(0.01)
         fleet.send(CRASHING, engine=engine)
-        fleet.run(EVERY_S)
+        fleet.run(SEND_INTERVAL_S)
 
 
-@when("what everyone asks for is on {count:d} engines that crash, and served between")
-def step_popular(context, count):
+@when(
+    "a popular request runs on {count:d} engines that crash, and is served in between"
+)
+def step_popular_request(context, count):
     fleet = context.fleet_under_crash
     for _ in range(count):
         engine = next(e for e in fleet.engines if e.is_up)
@@ -217,18 +231,18 @@
         fleet.run(2.0)
 
 
-@then("it was never refused")
+@then("the harmless request was never refused")
 def step_never_refused(context):
     fleet = context.fleet_under_crash
     refused = [entry for entry in fleet.refused if entry[1] == "harmless"]
     assert not refused, refused
 
 
-# What it costs.
+# Cost.
 
 
 @when("{count:d} requests each crash {crashes:d} engines")
-def step_many(context, count, crashes):
+def step_many_crashing_requests(context, count, crashes):
     fleet = context.fleet_under_crash
     for number in range(count):
         name = f"crashing-{number}"
@@ -249,19 +263,21 @@
 
 
 @then(
-    "no instance knows of more than {most:d} requests, nor the log service of "
+    "no instance lists more than {most:d} requests, nor the log service more than "
     "{most_kept:d}"
 )
 def step_bounded(context, most, most_kept):
     fleet = context.fleet_under_crash
     fleet.run(15.0)
-    for side in fleet.sides:
-        assert len(side.quarantine.suspects) <= most, len(side.quarantine.suspects)
+    for instance in fleet.instances:
+        assert len(instance.quarantine.suspects) <= most, len(
+            instance.quarantine.suspects
+        )
     kept = fleet.store.newest("keyed.kumquatseam.suspects").records
     assert sum(bool(r.value) for r in kept) <= most_kept, len(kept)
 
 
-# Whatever may happen.
+# Random exploration.
 
 
 @given("a fleet of {count:d} with a crashing request, explored with seed {seed:d}")
@@ -271,30 +287,30 @@
 
 
 def _explore_step(fleet, number):
-    """Let one random thing happen."""
-    draw = fleet.draw
-    event = draw.random()
-    down = [side for side in fleet.sides if not side.is_up]
-    if event < 0.1 and len(fleet.up()) > 2:
-        fleet.restart([draw.choice(fleet.up())])
-    elif event < 0.14 and len(fleet.up()) > 2:
-        fleet.kill([draw.choice(fleet.up())])
+    """Apply one random event: a restart, a fault or a crash."""
+    rng = fleet.rng
+    event = rng.random()
+    down = [instance for instance in fleet.instances if not instance.is_up]
+    if event < 0.1 and len(fleet.running_instances()) > 2:
+        fleet.restart([rng.choice(fleet.running_instances())])
+    elif event < 0.14 and len(fleet.running_instances()) > 2:
+        fleet.kill([rng.choice(fleet.running_instances())])
     elif event < 0.24 and down:
-        fleet.restart([draw.choice(down)])
+        fleet.restart([rng.choice(down)])
     elif event < 0.3:
-        side = draw.choice(fleet.sides)
-        side.faults.down = not side.faults.down
+        instance = rng.choice(fleet.instances)
+        instance.faults.down = not instance.faults.down
     elif event < 0.36:
-        fleet.net.loss = draw.choice((0.0, 0.02, 0.2))
-        fleet.net.repeats = draw.choice((0.0, 0.1))
-        fleet.lost_notices = draw.choice((0.0, 0.5))
+        fleet.net.loss = rng.choice((0.0, 0.02, 0.2))
+        fleet.net.repeats = rng.choice((0.0, 0.1))
+        fleet.notice_loss_ratio = rng.choice((0.0, 0.5))
     elif event < 0.4:
         up = [engine for engine in fleet.engines if engine.is_up]
-        fleet.crash(draw.choice(up))
+        fleet.crash(rng.choice(up))
     fleet.send(f"harmless-{number}")
 
 
-@when("it comes for {for_s:d} seconds while random things happen")
+@when("it is sent repeatedly for {for_s:d} seconds during random events")
 def step_explore(context, for_s):
     fleet = context.fleet_under_crash
     _repeat(fleet, for_s, lambda number: _explore_step(fleet, number))
--- a/features/steps/quarantine_world.py
+++ b/features/steps/quarantine_world.py
@@ -1,11 +1,11 @@
-"""Quarantines without processes."""
+"""Quarantines for tests that start no processes."""
 
 from kumquatseam.peers import InstanceRecord, NoDatagrams, RendezvousOrder
 from kumquatseam.quarantine import DirectNoticeChannel, Quarantine, QuarantineParts
 
 
 def single_instance_quarantine():
-    """Return the quarantine of an instance without others, which probes nothing."""
+    """Return the quarantine of a single instance, which sends no probes."""
     records = (InstanceRecord("alone", "127.0.0.1:1"),)
     link = NoDatagrams()
     return Quarantine(
@@ -15,6 +15,6 @@
             link,
             DirectNoticeChannel(link, list),
             None,
-            later=lambda delay_s, function, *arguments: None,
+            call_later=lambda delay_s, function, *arguments: None,
         )
     )
--- a/src/kumquatseam/quarantine/__init__.py
+++ b/src/kumquatseam/quarantine/__init__.py
@@ -1,17 +1,19 @@
-"""Keeping upstreams from requests that crash them.
+"""Quarantine of requests that crash upstreams.
 
-A request may crash each upstream that begins to run it, and come again, at any
-instance. Nobody sees that from one crash: whatever was being begun there is under
-suspicion. What the crashes of several upstreams have in common is.
+A request may crash every upstream that starts to run it, and be sent again to any
+instance. A single crash does not identify it, since any request that had just
+started on the upstream may be the cause. The request common to the crashes of
+several upstreams does.
 
-- :func:`fingerprint` says whether two requests ask for the same.
-- :class:`RunPermission` is asked before each attempt at a request and told how it
-  ended.
-- :class:`Quarantine` stands behind it: it counts crashes together with the other
-  instances, and knows which requests are suspected.
-- :class:`SuspectList` takes in what is kept of that in the log service.
-- :class:`kumquatseam.quarantine.follower.SuspectsFollower` reads it for a program
-  that reads its topics itself; it is imported by itself, since others don't.
+- :func:`fingerprint` identifies repeats of the same request.
+- :class:`RunPermission` tracks one request: acquire it before each attempt, and
+  record how each attempt ended.
+- :class:`Quarantine` counts crashes together with the other instances, and decides
+  whether a request may run.
+- :class:`SuspectList` holds the suspected requests, as stored in the log service.
+- :class:`kumquatseam.quarantine.follower.SuspectsFollower` updates that list in a
+  program that does not use ``feeds``. Import it from its module: this package does
+  not export it, as gateways do not need it.
 """
 
 from kumquatseam.quarantine._errors import QuarantinedError
@@ -27,13 +29,13 @@
     NoticeChannel,
 )
 from kumquatseam.quarantine._quarantine import Permit, Quarantine, QuarantineParts
-from kumquatseam.quarantine._runs import BrokenRun, RunUpstream
+from kumquatseam.quarantine._runs import InterruptedRun, RunUpstream
 
 __all__ = [
     "BUS_KINDS",
     "DATAGRAM_KINDS",
     "SUSPECTS_TOPIC",
-    "BrokenRun",
+    "InterruptedRun",
     "BusNoticeChannel",
     "CrashNotice",
     "DirectNoticeChannel",
--- a/src/kumquatseam/quarantine/_crashes.py
+++ b/src/kumquatseam/quarantine/_crashes.py
@@ -1,21 +1,21 @@
-"""The upstreams that crashed under a request, as evidence against it."""
+"""The upstreams that crashed while running a request."""
 
 from typing import Self
 
 import attrs
 
-#: crashes kept of one request; more decide nothing.
+#: maximum crashes stored per request; more would not change any decision.
 MAX_CRASHES = 8
 
 
 @attrs.frozen
 class Crashes:
-    """Upstreams that crashed under a request; empty: none did.
+    """Set of upstreams that crashed while running a request.
 
-    :param upstreams: their incarnations, sorted.
-    :param on_trial: those on which the request was the only copy that ran. Upstreams
-        may crash together of something else while each runs a copy; what happens to
-        a lone copy is no such coincidence.
+    :param upstreams: their incarnation ids, sorted.
+    :param on_trial: those that crashed during a trial, when the request ran as the
+        only copy in the fleet. Upstreams that each run a copy may crash together
+        for another reason; a crash on trial is not such a coincidence.
     """
 
     upstreams: tuple[str, ...] = ()
@@ -23,7 +23,7 @@
 
     @classmethod
     def single(cls, incarnation_id: str, is_on_trial: bool) -> Self:
-        """Return what one upstream that crashed amounts to."""
+        """Return the set for a single crashed upstream."""
         names = (incarnation_id,)
         return cls(names, names if is_on_trial else ())
 
@@ -32,40 +32,40 @@
 
     @property
     def incarnation_ids(self) -> frozenset[str]:
-        """Every upstream named here."""
+        """The incarnation ids of all crashed upstreams."""
         return frozenset((*self.upstreams, *self.on_trial))
 
-    def joined(self, others: Self) -> Self:
-        """Return these and others, no more than are kept of one request.
+    def merged(self, others: Self) -> Self:
+        """Return the union of both, limited to the maximum stored per request.
 
-        Whatever the order in which they are learnt, the result is the same, so that
-        instances which heard of many crashes come to agree.
+        The result does not depend on the order of merging, so instances converge on
+        the same set.
         """
         return Crashes(
-            _joined(self.upstreams, others.upstreams),
-            _joined(self.on_trial, others.on_trial),
+            _merged(self.upstreams, others.upstreams),
+            _merged(self.on_trial, others.on_trial),
         )
 
     def covers(self, others: Self) -> bool:
-        """Return whether all of some others are among these."""
+        """Return whether this set contains all crashes of another."""
         return set(others.upstreams) <= set(self.upstreams) and set(
             others.on_trial
         ) <= set(self.on_trial)
 
     def without(self, incarnation_ids: set[str]) -> Self:
-        """Return those that are left when some upstreams don't count."""
+        """Return the crashes without those of some upstreams."""
         return Crashes(
             tuple(name for name in self.upstreams if name not in incarnation_ids),
             tuple(name for name in self.on_trial if name not in incarnation_ids),
         )
 
     def outweighs(self, others: Self) -> bool:
-        """Return whether these speak more strongly against their request."""
+        """Return whether this is stronger evidence, trials counting first."""
         return self._weight() > others._weight()
 
     def _weight(self) -> tuple[int, int]:
         return len(self.on_trial), len(self.upstreams)
 
 
-def _joined(first: tuple[str, ...], second: tuple[str, ...]) -> tuple[str, ...]:
+def _merged(first: tuple[str, ...], second: tuple[str, ...]) -> tuple[str, ...]:
     return tuple(sorted({*first, *second})[:MAX_CRASHES])
--- a/src/kumquatseam/quarantine/_errors.py
+++ b/src/kumquatseam/quarantine/_errors.py
@@ -1,4 +1,4 @@
-"""Why a request is kept from upstreams."""
+"""Errors of the quarantine."""
 
 import attrs
 
@@ -7,14 +7,16 @@
 
 @attrs.define(frozen=True, eq=False)
 class QuarantinedError(KumquatseamError):
-    """A request is not run: upstreams crashed under it.
+    """The request is not run because upstreams crashed while they ran it.
 
-    :param crashes: how many.
-    :param retry_after_s: when it may be tried again.
+    :param crashes: number of upstreams that crashed.
+    :param retry_after_s: time until the request may be retried.
     """
 
     crashes: int
     retry_after_s: float
 
     def __str__(self) -> str:
-        return f"quarantine: {self.crashes} upstreams crashed under this request"
+        return (
+            f"quarantine: {self.crashes} upstreams crashed while running this request"
+        )
--- a/src/kumquatseam/quarantine/_fingerprint.py
+++ b/src/kumquatseam/quarantine/_fingerprint.py
@@ -1,20 +1,20 @@
-"""Telling whether two requests ask for the same."""
+"""Identification of repeated requests."""
 
 import xxhash
 
-#: stands between the fields, none of which can contain it.
+#: field separator; no field can contain this byte.
 _SEPARATOR = b"\x00"
 
 
 def fingerprint(team: str, method: bytes, host: str, target: bytes, body: bytes) -> str:
-    """Return what a request has in common with its repeats.
+    """Return a hash that is equal for repeats of the same request.
 
-    A repeat has an id, a deadline and hop headers of its own, and may come on
-    another key of its team; it asks for the same if these fields are the same.
+    Ids, deadlines, hop-by-hop headers and API keys are left out, since they may
+    differ between repeats.
 
-    :param team: the team it belongs to, ``""`` for none.
+    :param team: the team of the request, ``""`` for none.
     :param target: path and query as sent.
-    :param body: the whole body.
+    :param body: the complete body.
     :returns: 32 hexadecimal digits.
     """
     digest = xxhash.xxh3_128()
--- a/src/kumquatseam/quarantine/_list.py
+++ b/src/kumquatseam/quarantine/_list.py
@@ -1,4 +1,4 @@
-"""The requests that every instance knows to be suspected of crashing upstreams."""
+"""The list of suspected requests, shared by all instances."""
 
 import collections
 import time
@@ -11,33 +11,37 @@
 from kumquatseam.logservice import KeyedListener, Learning
 from kumquatseam.quarantine._crashes import Crashes
 from kumquatseam.quarantine._messages import RECORD_CODEC
-from kumquatseam.quarantine._policy import KEEP_S, needs_trial, pause_s
+from kumquatseam.quarantine._policy import (
+    SUSPECT_TTL_S,
+    needs_trial,
+    refusal_duration_s,
+)
 
 _log = part_logger("quarantine")
 
-#: requests listed for long; of more, those that were learnt of first are forgotten.
+#: maximum number of requests listed; the least recently updated are evicted.
 MAX_LISTED = 256
 
 
 @attrs.frozen
 class _Entry:
-    """A request on the list.
+    """A suspected request.
 
-    :param crashes: the upstreams that crashed under it.
-    :param learnt_s: when this instance learnt of the last of them.
+    :param crashes: the upstreams that crashed while running it.
+    :param updated_s: clock reading when this instance received the last crash.
     """
 
     crashes: Crashes
-    learnt_s: float
+    updated_s: float
 
 
 class SuspectList(KeyedListener):
-    """Requests under which several upstreams crashed.
+    """Requests during which several upstreams crashed.
 
-    It is the same everywhere but for what is still on its way: records come from
-    the log service, and a little earlier from the instance that wrote them. Times
-    count from when a record was learnt, so no clocks have to agree, and after a
-    restart a request is refused for as long again.
+    The list is eventually consistent across instances: records arrive from the log
+    service, and slightly earlier as a broadcast from the instance that writes them.
+    Periods of refusal and expiry count from the arrival of a record, so clocks need
+    not be synchronized; after a restart they begin again.
 
     :param clock: monotonic clock in seconds.
     """
@@ -47,7 +51,7 @@
         self._entries: dict[str, _Entry] = {}
         self._by_upstream: dict[str, set[str]] = collections.defaultdict(set)
         self._written: dict[str, Crashes] = {}
-        #: whether everything that the log service keeps was taken in once.
+        #: whether all records of the log service have been loaded once.
         self.is_complete = False
 
     def __len__(self) -> int:
@@ -56,7 +60,7 @@
     def take(self, key: str, value: bytes, learning: Learning) -> bool:
         self._written.pop(key, None)
         if not value:
-            # A record that the log lost is still known, and is written again.
+            # A record missing from a restored log is kept here and written again.
             return not learning.is_restored and self.drop(key)
         try:
             record = RECORD_CODEC.decode(value)
@@ -64,84 +68,84 @@
             _log.bind(fingerprint=key, error=str(error)).warning("Record ignored.")
             return False
         self._written[key] = record.crashes
-        return self.put(key, record.crashes)
+        return self.add_crashes(key, record.crashes)
 
     def note_synced(self) -> None:
         self.is_complete = True
 
-    def put(self, fingerprint: str, crashes: Crashes) -> bool:
-        """Take in upstreams that crashed under a request.
+    def add_crashes(self, fingerprint: str, crashes: Crashes) -> bool:
+        """Add crashes of a request to those already known.
 
-        :returns: whether any of them is news.
+        :returns: whether any of them is new.
         """
         known = self.crashes(fingerprint)
-        joined = known.joined(crashes)
-        if joined == known:
+        merged = known.merged(crashes)
+        if merged == known:
             return False
         self._remove(fingerprint)
-        self._entries[fingerprint] = _Entry(joined, self._clock())
-        for upstream in joined.incarnation_ids:
+        self._entries[fingerprint] = _Entry(merged, self._clock())
+        for upstream in merged.incarnation_ids:
             self._by_upstream[upstream].add(fingerprint)
         _log.bind(
             fingerprint=fingerprint,
-            crashed=joined.upstreams,
-            on_trial=joined.on_trial,
-            refused_for_s=pause_s(joined),
+            crashed=merged.upstreams,
+            on_trial=merged.on_trial,
+            refused_for_s=refusal_duration_s(merged),
         ).info("Request suspected.")
         return True
 
     def drop(self, fingerprint: str) -> bool:
-        """Forget a request; return whether it was listed."""
+        """Remove a request; return whether it was listed."""
         if not self._remove(fingerprint):
             return False
         _log.bind(fingerprint=fingerprint).info("Request no longer suspected.")
         return True
 
     def crashes(self, fingerprint: str) -> Crashes:
-        """Return the upstreams known to have crashed under a request."""
+        """Return the crashes known for a request."""
         entry = self._entries.get(fingerprint)
         return entry.crashes if entry is not None else Crashes()
 
     def is_suspected(self, fingerprint: str) -> bool:
-        """Return whether a request may run only when it is asked for first."""
+        """Return whether a request may run only on trial."""
         if fingerprint not in self._entries:
             return False
-        return needs_trial(self.unexplained(fingerprint, self.crashes(fingerprint)))
+        return needs_trial(self.unattributed(fingerprint, self.crashes(fingerprint)))
 
-    def unexplained(self, fingerprint: str, crashes: Crashes) -> Crashes:
-        """Return those of some crashes that speak against a request.
+    def unattributed(self, fingerprint: str, crashes: Crashes) -> Crashes:
+        """Return the crashes that are not attributed to another request.
 
-        A crash that another request explains better, since more speaks against that
-        one, is not held against those that ran beside it.
+        If several requests had just started on an upstream that crashed, the crash is
+        attributed to the one with the strongest evidence against it.
         """
         explained = {
             upstream
             for upstream in crashes.incarnation_ids
-            if self._is_explained(upstream, fingerprint, crashes)
+            if self._is_attributed_to_other(upstream, fingerprint, crashes)
         }
         return crashes.without(explained)
 
     def refused_for_s(self, fingerprint: str) -> float:
-        """Return how much longer a request is refused; 0 if it may be tried."""
+        """Return the remaining time for which a request is refused, 0 if it is not."""
         entry = self._entries.get(fingerprint)
         if entry is None:
             return 0.0
-        longest_s = pause_s(self.unexplained(fingerprint, entry.crashes))
-        return max(0.0, entry.learnt_s + longest_s - self._clock())
+        longest_s = refusal_duration_s(self.unattributed(fingerprint, entry.crashes))
+        return max(0.0, entry.updated_s + longest_s - self._clock())
 
     def outdated(self) -> list[str]:
-        """Return the requests to forget: those learnt of long ago, and too many."""
-        by_age = sorted(self._entries, key=lambda f: self._entries[f].learnt_s)
+        """Return the requests to drop: expired ones, and the oldest over the limit."""
+        by_age = sorted(self._entries, key=lambda f: self._entries[f].updated_s)
         beyond = len(by_age) - MAX_LISTED
-        oldest_s = self._clock() - KEEP_S
+        oldest_s = self._clock() - SUSPECT_TTL_S
         return [
             fingerprint
             for place, fingerprint in enumerate(by_age)
-            if place < beyond or self._entries[fingerprint].learnt_s < oldest_s
+            if place < beyond or self._entries[fingerprint].updated_s < oldest_s
         ]
 
     def unwritten(self) -> list[str]:
-        """Return the requests of which the log service knows less than is known."""
+        """Return the requests whose known crashes are not all in the log service."""
         return [
             fingerprint
             for fingerprint, entry in self._entries.items()
@@ -158,7 +162,9 @@
                 del self._by_upstream[upstream]
         return True
 
-    def _is_explained(self, upstream: str, fingerprint: str, crashes: Crashes) -> bool:
+    def _is_attributed_to_other(
+        self, upstream: str, fingerprint: str, crashes: Crashes
+    ) -> bool:
         return any(
             other != fingerprint and self._entries[other].crashes.outweighs(crashes)
             for other in self._by_upstream.get(upstream, ())
--- a/src/kumquatseam/quarantine/_messages.py
+++ b/src/kumquatseam/quarantine/_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about requests that crash upstreams."""
+"""Records and messages about requests that crash upstreams."""
 
 import attrs
 
@@ -8,9 +8,9 @@
 
 @attrs.frozen
 class CrashRecord:
-    """The upstreams that crashed under a request; kept in the log service.
+    """Log service record of the upstreams that crashed while running a request.
 
-    :param crashes: empty: the request is cleared.
+    :param crashes: the crashes; empty if the request is no longer suspected.
     """
 
     crashes: Crashes = Crashes()
@@ -18,12 +18,13 @@
 
 @attrs.frozen
 class CrashReport:
-    """An upstream crashed under a request.
+    """Report to a request's owner that an upstream crashed while running it.
 
-    :param number: names the message; the answer repeats it.
+    :param number: message id, repeated in the answer.
     :param fingerprint: the request.
-    :param crashes: this one, and others that the sender knows of.
-    :param is_copy: somebody else looks after it; this is in case it dies.
+    :param crashes: the new crash and all others known to the sender.
+    :param is_copy: whether another instance has accepted the report; the receiver
+        keeps the copy in case that instance fails.
     """
 
     number: int
@@ -34,12 +35,12 @@
 
 @attrs.frozen
 class TrialQuestion:
-    """Asks whether a request may run now.
+    """Ask a request's owner whether a trial of the request may start now.
 
-    :param number: names the message; the answer repeats it.
+    :param number: message id, repeated in the answer.
     :param fingerprint: the request.
-    :param crashes: the upstreams that crashed under it, as the sender knows.
-    :param lasts_ms: how long it may take until it is known how it ended.
+    :param crashes: the crashes known to the sender.
+    :param lasts_ms: maximum time until the outcome of the trial is known.
     """
 
     number: int
@@ -50,11 +51,11 @@
 
 @attrs.frozen
 class TrialAnswer:
-    """Says whether a request may run now.
+    """Answer to a :class:`TrialQuestion`.
 
-    :param number: the question's.
-    :param is_granted: whether it may.
-    :param wait_ms: otherwise, when to come back.
+    :param number: id of the question.
+    :param is_granted: whether the trial may start.
+    :param wait_ms: time to wait before asking again, if not granted.
     """
 
     number: int
@@ -64,12 +65,12 @@
 
 @attrs.frozen
 class RunEnded:
-    """A request ended without a crash.
+    """Report to a request's owner that a run ended without a crash.
 
-    :param number: names the message; the answer repeats it.
+    :param number: message id, repeated in the answer.
     :param fingerprint: the request.
-    :param was_served: an upstream answered it whole, so it crashes none; otherwise
-        it did not run.
+    :param was_served: whether an upstream completed it, which shows that it does not
+        crash upstreams; otherwise it did not run.
     """
 
     number: int
@@ -78,12 +79,12 @@
 
 
 @attrs.frozen
-class Noted:
-    """A message was taken in.
+class Acknowledgement:
+    """Acknowledges a :class:`CrashReport` or :class:`RunEnded`.
 
-    :param number: the message's.
+    :param number: id of the acknowledged message.
     :param fingerprint: the request.
-    :param crashes: what is known of it by now.
+    :param crashes: the crashes known to the owner.
     """
 
     number: int
@@ -93,11 +94,11 @@
 
 @attrs.frozen
 class CrashNotice:
-    """Tells everyone what is known of a request.
+    """Broadcast to all instances of the crashes counted for a request.
 
     :param fingerprint: the request.
     :param crashes: see :class:`CrashRecord`.
-    :param first_crash_ago_ms: how long ago the first of the crashes was told of.
+    :param first_crash_ago_ms: time since the owner received the first report.
     """
 
     fingerprint: str
@@ -105,16 +106,16 @@
     first_crash_ago_ms: int = 0
 
 
-#: records in the log service.
+#: codec of the records in the log service.
 RECORD_CODEC = MessageCodec("crash record", {"crashes": CrashRecord})
-#: messages over datagrams, by name on the wire.
+#: datagram messages, by kind on the wire.
 DATAGRAM_KINDS = {
     "crash": CrashReport,
     "try": TrialQuestion,
     "trial": TrialAnswer,
     "run": RunEnded,
-    "noted": Noted,
+    "noted": Acknowledgement,
     "notice": CrashNotice,
 }
-#: messages over the bus, by name on the wire.
+#: bus messages, by kind on the wire.
 BUS_KINDS = {"notice": CrashNotice}
--- a/src/kumquatseam/quarantine/_owners.py
+++ b/src/kumquatseam/quarantine/_owners.py
@@ -1,4 +1,4 @@
-"""Telling and asking the instance that looks after a request."""
+"""Messages to the instance that owns a request."""
 
 import random
 from collections.abc import Callable
@@ -10,8 +10,8 @@
 from kumquatseam.peers import DatagramLink, InstanceRecord, RendezvousOrder
 from kumquatseam.quarantine._crashes import Crashes
 from kumquatseam.quarantine._messages import (
+    Acknowledgement,
     CrashReport,
-    Noted,
     RunEnded,
     TrialAnswer,
     TrialQuestion,
@@ -19,19 +19,19 @@
 
 _log = part_logger("quarantine")
 
-#: how long an answer is waited for; an instance that is busy with other requests
-#: answers within this, and a request waits for it at most three times.
+#: timeout of one call; a busy instance still answers within it. A request waits for
+#: at most three of these in a row.
 ANSWER_TIMEOUT_S = 0.06
 _Message = CrashReport | TrialQuestion | RunEnded
-_Answer = Noted | TrialAnswer
+_Answer = Acknowledgement | TrialAnswer
 
 
 @attrs.define
-class _Waiting:
+class _PendingCall:
     """A message that waits for its answer.
 
-    :param answer: what came back.
-    :param is_answered: set when it came.
+    :param answer: the answer, once received.
+    :param is_answered: set when the answer was received.
     """
 
     answer: _Answer | None = None
@@ -39,14 +39,14 @@
 
 
 class OwnerClient:
-    """Sends messages about a request to the instance that looks after it.
-
-    :param name: this instance.
-    :param order: which instances may look after a request.
-    :param link: carries the messages.
-    :param serve: takes in a message that this instance looks after itself.
-    :param learn: takes in what another instance knows of a request.
-    :param wait: waits until an event is set, for so many seconds at most.
+    """Sends messages about a request to the instance that owns it.
+
+    :param name: name of this instance.
+    :param order: returns the candidate owners of a request, by preference.
+    :param link: sends and receives the messages.
+    :param handle: handles a message if this instance is the owner.
+    :param add_crashes: stores the crashes of a request that another instance knows.
+    :param wait: waits for an event, with a timeout in seconds.
     """
 
     def __init__(
@@ -54,72 +54,78 @@
         name: str,
         order: RendezvousOrder,
         link: DatagramLink,
-        serve: Callable[[_Message], _Answer],
-        learn: Callable[[str, Crashes], object],
+        handle: Callable[[_Message], _Answer],
+        add_crashes: Callable[[str, Crashes], object],
         wait: Callable[[gevent.event.Event, float], object] = gevent.event.Event.wait,
     ) -> None:
         self._name = name
         self._order = order
         self._link = link
-        self._serve = serve
-        self._learn = learn
+        self._handle = handle
+        self._add_crashes = add_crashes
         self._wait = wait
         self._number = random.getrandbits(48)
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingCall] = {}
         for kind in (CrashReport, TrialQuestion, RunEnded):
-            link.on_message(kind, self._take_message)
-        for kind in (Noted, TrialAnswer):
-            link.on_message(kind, self._take_answer)
+            link.on_message(kind, self._on_message)
+        for kind in (Acknowledgement, TrialAnswer):
+            link.on_message(kind, self._on_answer)
 
     def next_number(self) -> int:
-        """Return a number for a message."""
+        """Return the id for a new message."""
         self._number += 1
         return self._number
 
-    def choices(self, fingerprint: str) -> tuple[InstanceRecord, ...]:
-        """Return the instances that may look after a request, in order."""
+    def candidates(self, fingerprint: str) -> tuple[InstanceRecord, ...]:
+        """Return the instances that may own a request, by preference."""
         return self._order.of(fingerprint)
 
     def may_own(self, fingerprint: str) -> bool:
-        """Return whether this instance may look after a request."""
-        return self._name in {record.name for record in self.choices(fingerprint)}
+        """Return whether this instance is a candidate owner of a request."""
+        return self._name in {record.name for record in self.candidates(fingerprint)}
 
-    def ask(self, message: _Message) -> tuple[_Answer, InstanceRecord] | None:
-        """Return the answer of the first instance in order that gives one.
+    def call(self, message: _Message) -> tuple[_Answer, InstanceRecord] | None:
+        """Send a message to the owner of its request, with failover.
 
-        :returns: ``None`` if none of them does.
+        The candidates are tried by preference until one answers.
+
+        :returns: the answer and the instance that gave it; ``None`` if none answered.
         """
-        for record in self.choices(message.fingerprint):
-            answer = self._ask_one(record, message)
+        for record in self.candidates(message.fingerprint):
+            answer = self._call_instance(record, message)
             if answer is not None:
                 return answer, record
-        _log.bind(fingerprint=message.fingerprint).warning("No instance answers.")
+        _log.bind(fingerprint=message.fingerprint).warning(
+            "No owner candidate answered."
+        )
         return None
 
-    def tell(self, record: InstanceRecord, message: object) -> None:
-        """Tell one instance something; it may get lost."""
+    def send_to(self, record: InstanceRecord, message: object) -> None:
+        """Send a message to one instance, without acknowledgement or retry."""
         if record.name != self._name:
             self._link.send(record.address, message)
 
-    def _ask_one(self, record: InstanceRecord, message: _Message) -> _Answer | None:
+    def _call_instance(
+        self, record: InstanceRecord, message: _Message
+    ) -> _Answer | None:
         if record.name == self._name:
-            return self._serve(message)
-        waiting = self._waiting[message.number] = _Waiting()
+            return self._handle(message)
+        pending = self._pending[message.number] = _PendingCall()
         try:
             self._link.send(record.address, message)
-            self._wait(waiting.is_answered, ANSWER_TIMEOUT_S)
-            return waiting.answer
+            self._wait(pending.is_answered, ANSWER_TIMEOUT_S)
+            return pending.answer
         finally:
-            del self._waiting[message.number]
-
-    def _take_message(self, message: _Message, sender: str) -> None:
-        self._link.send(sender, self._serve(message))
-
-    def _take_answer(self, answer: _Answer, _: str) -> None:
-        if isinstance(answer, Noted):
-            # An instance that could not read the list learns here what it sent.
-            self._learn(answer.fingerprint, answer.crashes)
-        waiting = self._waiting.get(answer.number)
-        if waiting is not None:
-            waiting.answer = answer
-            waiting.is_answered.set()
+            del self._pending[message.number]
+
+    def _on_message(self, message: _Message, sender: str) -> None:
+        self._link.send(sender, self._handle(message))
+
+    def _on_answer(self, answer: _Answer, _: str) -> None:
+        if isinstance(answer, Acknowledgement):
+            # Brings an instance up to date that cannot read the log service.
+            self._add_crashes(answer.fingerprint, answer.crashes)
+        pending = self._pending.get(answer.number)
+        if pending is not None:
+            pending.answer = answer
+            pending.is_answered.set()
--- a/src/kumquatseam/quarantine/_permission.py
+++ b/src/kumquatseam/quarantine/_permission.py
@@ -1,13 +1,16 @@
-"""Whether one request may run, and what became of its runs."""
+"""Permission to run one request, and the outcome of its runs."""
 
 from kumquatseam.quarantine._quarantine import Permit, Quarantine
-from kumquatseam.quarantine._runs import BrokenRun, RunUpstream
+from kumquatseam.quarantine._runs import InterruptedRun, RunUpstream
 
 
 class RunPermission:
-    """The quarantine's word on one request; used by whoever serves it.
+    """Permission to run one request, held by the code that serves it.
 
-    :param quarantine: keeps upstreams from requests that crash them.
+    Acquire it before each attempt, record the outcome of each, and close it at the
+    end.
+
+    :param quarantine: decides whether the request may run.
     :param fingerprint: the request.
     """
 
@@ -19,47 +22,53 @@
 
     @property
     def is_trial(self) -> bool:
-        """Whether it runs on trial: no other copy of it runs meanwhile."""
+        """Whether the request runs on trial, as the only copy in the fleet."""
         return self._permit is not None and self._permit.is_trial
 
-    def ask(self, lasts_s: float) -> None:
-        """Ask before each attempt: others may have learnt what it does.
+    def acquire(self, max_duration_s: float) -> None:
+        """Check that the request may run; call this before each attempt.
+
+        Other instances may have reported crashes since the previous attempt.
 
-        :param lasts_s: how long it runs at most.
-        :raises QuarantinedError: if it may not run now.
+        :param max_duration_s: maximum duration of the run.
+        :raises QuarantinedError: if the request may not run now.
         """
         if not self.is_trial:
-            self._permit = self._quarantine.admit(self._fingerprint, lasts_s)
+            self._permit = self._quarantine.admit(self._fingerprint, max_duration_s)
 
     def note_sent(self) -> None:
-        """Note that an upstream is sent the request."""
+        """Record that the request is being sent to an upstream."""
         self._has_begun = True
 
     def note_refused(self) -> None:
-        """Note that the upstream did not run it."""
+        """Record that the upstream did not run the request."""
         self._has_begun = False
 
     def note_answered(self) -> None:
-        """Note that an upstream answered it whole."""
+        """Record that an upstream completed the request."""
         self._quarantine.note_served(self._permit)
 
-    def note_broken(self, upstream: RunUpstream, answering_s: float | None) -> None:
-        """Note that a run of it broke off.
+    def note_interrupted(
+        self, upstream: RunUpstream, answering_s: float | None
+    ) -> None:
+        """Record that a run failed, possibly because its upstream crashed.
 
-        :param answering_s: how long its answer came, if it had begun.
+        :param answering_s: time since the first part of the answer; ``None`` if there
+            was none.
         """
-        run = BrokenRun(self._fingerprint, upstream, answering_s, self.is_trial)
-        self._quarantine.note_broken(run)
+        run = InterruptedRun(self._fingerprint, upstream, answering_s, self.is_trial)
+        self._quarantine.note_interrupted(run)
 
     def note_abandoned(self, upstream: RunUpstream, answering_s: float | None) -> None:
-        """Note that the caller left while it ran, so that nobody sees its end.
+        """Record that the caller disconnected, so the end of the run is unknown.
 
-        :param answering_s: how long its answer came, if it had begun.
+        :param answering_s: time since the first part of the answer; ``None`` if there
+            was none.
         """
-        run = BrokenRun(self._fingerprint, upstream, answering_s, self.is_trial)
+        run = InterruptedRun(self._fingerprint, upstream, answering_s, self.is_trial)
         self._quarantine.note_abandoned(run)
 
     def close(self) -> None:
-        """Give a trial back that came to nothing."""
+        """Release the trial if the request did not run."""
         if self.is_trial and not self._has_begun:
             self._quarantine.note_not_run(self._permit)
--- a/src/kumquatseam/quarantine/_probe.py
+++ b/src/kumquatseam/quarantine/_probe.py
@@ -1,23 +1,24 @@
-"""Finding out whether an upstream ended, or only a connection to it."""
+"""Connection probe that tells a crashed upstream from a broken connection."""
 
 import enum
 
 import gevent.socket
 
-#: a process that ended refuses connections at once; longer silence tells nothing.
+#: the port of a process that ended refuses connections at once; a timeout is
+#: inconclusive.
 PROBE_TIMEOUT_S = 0.3
 
 
 class Liveness(enum.Enum):
-    """What an attempt to connect tells of a process."""
+    """Result of a connection attempt."""
 
     ALIVE = "alive"
     ENDED = "ended"
     UNKNOWN = "unknown"
 
 
-def probe(address: str) -> Liveness:
-    """Return whether a process listens at an address.
+def probe_liveness(address: str) -> Liveness:
+    """Return whether a process accepts connections at an address.
 
     :param address: ``host:port``.
     """
@@ -27,7 +28,7 @@
     except ConnectionRefusedError:
         return Liveness.ENDED
     except ConnectionResetError:
-        # It listens, and has as many connections as it takes.
+        # It listens, but is at its connection limit.
         return Liveness.ALIVE
     except (OSError, ValueError):
         return Liveness.UNKNOWN
--- a/src/kumquatseam/quarantine/_publisher.py
+++ b/src/kumquatseam/quarantine/_publisher.py
@@ -1,4 +1,4 @@
-"""Making everyone know of requests that crash upstreams."""
+"""Broadcast and storage of the suspected requests."""
 
 import abc
 from collections.abc import Callable
@@ -12,37 +12,37 @@
 
 _log = part_logger("quarantine")
 
-#: keyed topic with a record of each suspected request, under its fingerprint.
+#: keyed topic with one record per suspected request; the key is its fingerprint.
 SUSPECTS_TOPIC = "keyed.kumquatseam.suspects"
-#: peers that are told one by one at most.
-MAX_TOLD_PEERS = 12
-#: pause between attempts to write a record.
+#: maximum number of peers to which a notice is sent one by one.
+MAX_NOTIFIED_PEERS = 12
+#: pause before a failed write is retried.
 RETRY_PAUSE_S = 0.5
 
 
 class NoticeChannel(abc.ABC):
-    """Tells every instance something at once; it may get lost."""
+    """Broadcasts notices to all instances, without guarantee of delivery."""
 
     @abc.abstractmethod
     def on_notice(self, listener: Callable[[CrashNotice], None]) -> None:
-        """Call ``listener`` with each notice of another instance."""
+        """Call ``listener`` with each notice received from another instance."""
 
     @abc.abstractmethod
     def send(self, notice: CrashNotice) -> None:
-        """Send ``notice`` to everyone who can be reached."""
+        """Broadcast ``notice`` to all reachable instances."""
 
 
 class BusNoticeChannel(NoticeChannel):
-    """Notices over the bus, in a large fleet by way of its leaders.
+    """Broadcasts notices over the bus, in a large fleet through its leaders.
 
-    :param bus: carries the notices.
-    :param link: carries them to the leaders, whom everyone listens to.
+    :param bus: reaches the instances that follow this one.
+    :param link: sends notices to the leaders, which all instances follow.
     """
 
     def __init__(self, bus: PeerBus, link: DatagramLink) -> None:
         self._bus = bus
         self._link = link
-        link.on_message(CrashNotice, lambda notice, _: self._hand_on(notice))
+        link.on_message(CrashNotice, lambda notice, _: self._forward(notice))
         self._on_notice: Callable[[CrashNotice], None] = lambda notice: None
 
     def on_notice(self, listener: Callable[[CrashNotice], None]) -> None:
@@ -55,19 +55,20 @@
             if leader.name != self._bus.name:
                 self._link.send(leader.address, notice)
 
-    def _hand_on(self, notice: CrashNotice) -> None:
-        """Pass a notice on to those that listen to this leader."""
+    def _forward(self, notice: CrashNotice) -> None:
+        """Forward a notice to the instances that follow this leader."""
         self._on_notice(notice)
         self._bus.publish(notice)
 
 
 class DirectNoticeChannel(NoticeChannel):
-    """Notices to every peer, as long as they are few.
+    """Sends notices to each peer directly, while there are few peers.
 
-    Those of a large fleet hear of it from the log service alone, a moment later.
+    In a larger fleet nothing is sent; the peers read the record from the log service
+    a moment later.
 
-    :param link: carries the notices.
-    :param list_addresses: returns the peers' addresses.
+    :param link: sends the notices.
+    :param list_addresses: returns the addresses of the peers.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
 
     def send(self, notice: CrashNotice) -> None:
         addresses = self._list_addresses()
-        if len(addresses) <= MAX_TOLD_PEERS:
+        if len(addresses) <= MAX_NOTIFIED_PEERS:
             for address in addresses:
                 self._link.send(address, notice)
 
@@ -89,8 +90,8 @@
 class RecordWriter:
     """Writes records of suspected requests to the log service.
 
-    :param log: the log service; ``None`` to keep nothing.
-    :param suspects: what is known of them.
+    :param log: the log service; ``None`` if nothing is to be written.
+    :param suspects: the suspected requests.
     """
 
     def __init__(self, log: LogService | None, suspects: SuspectList) -> None:
@@ -100,25 +101,26 @@
         self.loop = DueLoop(self.step, RETRY_PAUSE_S)
 
     def write(self, fingerprint: str) -> None:
-        """Write what is known of a request when the log service answers.
+        """Schedule a write of a request's record, and return at once.
 
-        A record of what is no longer suspected is dropped. Does not wait.
+        The record is deleted if the request is no longer suspected. Failed writes are
+        retried.
         """
         if self._log_service is not None:
             self._unwritten.add(fingerprint)
             self.loop.wake()
 
     def step(self) -> bool:
-        """Write what is not written yet; return whether any of it is left."""
+        """Write the scheduled records; return whether any are left."""
         for fingerprint in list(self._unwritten):
             crashes = self._suspects.crashes(fingerprint)
             value = RECORD_CODEC.encode(CrashRecord(crashes)) if crashes else b""
             try:
                 self._log_service.append_keyed(SUSPECTS_TOPIC, fingerprint, value)
             except LogServiceError as error:
-                # Whether or not it was done, doing it again does no harm.
+                # The record may have been written; the write is idempotent.
                 _log.bind(fingerprint=fingerprint, error=str(error)).warning(
-                    "Record not written yet."
+                    "Suspect record not written; the write will be retried."
                 )
                 return True
             if self._suspects.crashes(fingerprint) == crashes:
--- /dev/null
+++ b/src/kumquatseam/quarantine/_registry.py
@@ -0,0 +1,140 @@
+"""Crash counts and trials of the requests that this instance owns."""
+
+import collections
+import time
+from collections.abc import Callable
+
+import attrs
+
+from kumquatseam.logs import part_logger
+from kumquatseam.quarantine._crashes import Crashes
+from kumquatseam.quarantine._list import SuspectList
+from kumquatseam.quarantine._policy import needs_trial
+
+_log = part_logger("quarantine")
+
+#: maximum number of requests counted; the one reported least recently is evicted.
+MAX_COUNTED = 4096
+#: expiry of a count, so that unrelated crashes do not add up: upstreams crash now
+#: and then, and some request has always just started on them.
+COUNT_TTL_S = 600.0
+#: retry delay while another trial is in progress; most runs end within it.
+BUSY_RETRY_S = 1.0
+
+
+@attrs.define
+class _CountedRequest:
+    """Crashes counted for one request.
+
+    :param first_crash_s: clock reading when the first crash was reported.
+    :param last_crash_s: clock reading when the last new crash was reported.
+    :param crashes: all crashes known when the last report was counted.
+    """
+
+    first_crash_s: float
+    last_crash_s: float
+    crashes: Crashes = Crashes()
+
+
+@attrs.frozen
+class TrialDecision:
+    """Whether a trial of a request may start now.
+
+    :param is_granted: whether it may start.
+    :param wait_s: time to wait before asking again, if not granted.
+    """
+
+    is_granted: bool
+    wait_s: float = 0.0
+
+
+class CrashRegistry:
+    """Crashes and trials of the requests that this instance owns.
+
+    Rendezvous hashing makes all instances contact the same owner. While their
+    views of the fleet differ, two trials of a request may run at once.
+
+    :param suspects: the suspected requests known to all instances.
+    :param clock: monotonic clock in seconds.
+    """
+
+    def __init__(
+        self, suspects: SuspectList, clock: Callable[[], float] = time.monotonic
+    ) -> None:
+        self._suspects = suspects
+        self._clock = clock
+        self._counted: collections.OrderedDict[str, _CountedRequest] = (
+            collections.OrderedDict()
+        )
+        self._trial_deadlines_s: dict[str, float] = {}
+
+    def note_crashes(self, fingerprint: str, crashes: Crashes) -> bool:
+        """Count upstreams that crashed while running a request.
+
+        :returns: whether the request is now suspected and must be broadcast.
+        """
+        self._expire()
+        now_s = self._clock()
+        known = self.crashes(fingerprint)
+        entry = self._counted.pop(fingerprint, None) or _CountedRequest(now_s, now_s)
+        entry.crashes = known.merged(crashes)
+        if entry.crashes != known:
+            entry.last_crash_s = now_s
+            self._trial_deadlines_s.pop(fingerprint, None)
+            _log.bind(
+                fingerprint=fingerprint,
+                crashed=entry.crashes.upstreams,
+                on_trial=entry.crashes.on_trial,
+            ).info("Crash counted.")
+        self._counted[fingerprint] = entry
+        while len(self._counted) > MAX_COUNTED:
+            self._counted.popitem(last=False)
+        if self._suspects.crashes(fingerprint).covers(entry.crashes):
+            return False
+        return needs_trial(self._suspects.unattributed(fingerprint, entry.crashes))
+
+    def crashes(self, fingerprint: str) -> Crashes:
+        """Return all crashes known for a request, broadcast or only counted here."""
+        entry = self._counted.get(fingerprint)
+        counted = entry.crashes if entry is not None else Crashes()
+        return self._suspects.crashes(fingerprint).merged(counted)
+
+    def first_crash_ago_s(self, fingerprint: str) -> float:
+        """Return the time since the first report; 0 if no crash is counted here."""
+        entry = self._counted.get(fingerprint)
+        return self._clock() - entry.first_crash_s if entry is not None else 0.0
+
+    def try_start_trial(self, fingerprint: str, max_duration_s: float) -> TrialDecision:
+        """Start a trial of a suspected request unless one runs or it is refused.
+
+        :param max_duration_s: time after which the trial counts as ended.
+        """
+        now_s = self._clock()
+        refused_for_s = self._suspects.refused_for_s(fingerprint)
+        if refused_for_s > 0:
+            return TrialDecision(False, refused_for_s)
+        left_s = self._trial_deadlines_s.get(fingerprint, 0.0) - now_s
+        if left_s > 0:
+            return TrialDecision(False, min(left_s, BUSY_RETRY_S))
+        self._trial_deadlines_s[fingerprint] = now_s + max_duration_s
+        return TrialDecision(True)
+
+    def end_trial(self, fingerprint: str) -> None:
+        """Record that a trial ended before the request ran."""
+        self._trial_deadlines_s.pop(fingerprint, None)
+
+    def clear(self, fingerprint: str) -> None:
+        """Drop the crashes of a request; one that was served crashes no upstream."""
+        self._counted.pop(fingerprint, None)
+        self._trial_deadlines_s.pop(fingerprint, None)
+
+    def _expire(self) -> None:
+        now_s = self._clock()
+        oldest_s = now_s - COUNT_TTL_S
+        for fingerprint, entry in list(self._counted.items()):
+            if entry.last_crash_s >= oldest_s:
+                break
+            del self._counted[fingerprint]
+        for fingerprint, until_s in list(self._trial_deadlines_s.items()):
+            if until_s <= now_s:
+                del self._trial_deadlines_s[fingerprint]
--- a/src/kumquatseam/quarantine/_reporter.py
+++ b/src/kumquatseam/quarantine/_reporter.py
@@ -1,4 +1,4 @@
-"""Reporting crashes to the instances that look after the requests."""
+"""Reports of crashes to the owners of the requests."""
 
 import time
 from collections.abc import Callable
@@ -13,18 +13,18 @@
 
 _log = part_logger("quarantine")
 
-#: pause between attempts to report a crash that nobody took in.
+#: pause before an unacknowledged report is retried.
 RETRY_PAUSE_S = 0.3
-#: a report is given up after this long: the instances that looked after the
-#: request are gone, and whoever looks after it now counts what comes next.
+#: a report is dropped after this long without acknowledgement: the owners of the
+#: request are gone, and its new owner counts the next crashes.
 GIVE_UP_AFTER_S = 15.0
-#: reports under way at a time; an upstream that crashes leaves some ten.
-MAX_OPEN = 512
+#: maximum number of pending reports; the crash of one upstream causes about ten.
+MAX_PENDING = 512
 
 
 @attrs.frozen
 class _Crash:
-    """An upstream crashed under a request.
+    """The crash of an upstream while it ran a request.
 
     :param fingerprint: the request.
     :param incarnation_id: the upstream.
@@ -37,14 +37,15 @@
 
 
 class CrashReporter:
-    """Reports each crash until somebody has taken it in.
+    """Reports each crash to the owner of the request until it is acknowledged.
 
-    Each goes its own way, so that those whose instances are away hold up no other.
+    Reports are sent independently, so that an unreachable owner does not delay the
+    reports to others.
 
-    :param owners: tells the instances that look after requests.
-    :param suspects: the requests that this instance knows to be suspected.
-    :param take_alone: takes in a crash that nobody else answers to.
-    :param later: calls a function after so many seconds.
+    :param owners: sends the reports.
+    :param suspects: the suspected requests.
+    :param handle_locally: handles a report on this instance if no owner answers.
+    :param call_later: calls a function after a delay in seconds.
     :param clock: monotonic clock in seconds.
     """
 
@@ -52,53 +53,53 @@
         self,
         owners: OwnerClient,
         suspects: SuspectList,
-        take_alone: Callable[[CrashReport], object],
-        later: Callable[..., object],
+        handle_locally: Callable[[CrashReport], object],
+        call_later: Callable[..., object],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._owners = owners
         self._suspects = suspects
-        self._take_alone = take_alone
-        self._later = later
+        self._handle_locally = handle_locally
+        self._call_later = call_later
         self._clock = clock
-        self._open: dict[_Crash, float] = {}
+        self._pending: dict[_Crash, float] = {}
 
     def report(self, fingerprint: str, incarnation_id: str, is_on_trial: bool) -> None:
-        """Report that an upstream crashed under a request; does not wait."""
+        """Schedule the report of a crash, and return at once."""
         crash = _Crash(fingerprint, incarnation_id, is_on_trial)
-        if crash in self._open:
+        if crash in self._pending:
             return
-        if len(self._open) >= MAX_OPEN:
+        if len(self._pending) >= MAX_PENDING:
             _log.bind(fingerprint=fingerprint, upstream=incarnation_id).warning(
-                "Crash not reported: too many at a time."
+                "Crash not reported: too many reports are pending."
             )
             return
-        self._open[crash] = self._clock()
-        self._later(0, self._deliver, crash)
+        self._pending[crash] = self._clock()
+        self._call_later(0, self._deliver, crash)
 
     def _deliver(self, crash: _Crash) -> None:
-        is_told = self._tell(crash)
-        age_s = self._clock() - self._open[crash]
-        if is_told or age_s > GIVE_UP_AFTER_S:
-            del self._open[crash]
+        is_delivered = self._send_report(crash)
+        age_s = self._clock() - self._pending[crash]
+        if is_delivered or age_s > GIVE_UP_AFTER_S:
+            del self._pending[crash]
         else:
-            self._later(RETRY_PAUSE_S, self._deliver, crash)
+            self._call_later(RETRY_PAUSE_S, self._deliver, crash)
 
-    def _tell(self, crash: _Crash) -> bool:
-        """Return whether an instance took the crash in."""
+    def _send_report(self, crash: _Crash) -> bool:
+        """Report a crash; return whether an owner acknowledged it."""
         known = self._suspects.crashes(crash.fingerprint)
-        this_one = Crashes.single(crash.incarnation_id, crash.is_on_trial)
+        new_crash = Crashes.single(crash.incarnation_id, crash.is_on_trial)
         report = CrashReport(
-            self._owners.next_number(), crash.fingerprint, known.joined(this_one)
+            self._owners.next_number(), crash.fingerprint, known.merged(new_crash)
         )
-        answered = self._owners.ask(report)
+        answered = self._owners.call(report)
         if answered is None:
-            # Cut off from the others, an instance still counts its own crashes.
-            self._take_alone(report)
+            # An instance that is cut off from the others still counts its own crashes.
+            self._handle_locally(report)
             return False
         _, owner = answered
         copy = attrs.evolve(report, is_copy=True)
-        for record in self._owners.choices(crash.fingerprint):
+        for record in self._owners.candidates(crash.fingerprint):
             if record.name != owner.name:
-                self._owners.tell(record, copy)
+                self._owners.send_to(record, copy)
         return True
--- a/src/kumquatseam/quarantine/_runs.py
+++ b/src/kumquatseam/quarantine/_runs.py
@@ -1,20 +1,20 @@
-"""Runs whose ends say something of their upstreams."""
+"""Interrupted runs, as evidence of upstream crashes."""
 
 import attrs
 
-#: a run whose answer has been coming for this long did not crash its upstream by
-#: being begun.
-SETTLED_S = 0.5
+#: a run that has been streaming its answer for this long did not crash its upstream
+#: by being started.
+RULED_OUT_AFTER_S = 0.5
 
 
 @attrs.frozen
 class RunUpstream:
-    """The upstream of a run that ended early, as it is known then.
+    """State of the upstream at the moment that a run was interrupted.
 
-    :param incarnation_id: its incarnation.
+    :param incarnation_id: id of the upstream process; a restart gets a new one.
     :param address: ``host:port``.
-    :param is_leaving: whether it is leaving as planned.
-    :param is_gone: whether that incarnation is known to have ended.
+    :param is_leaving: whether the upstream is shutting down as planned.
+    :param is_gone: whether the incarnation has left the list of upstreams.
     """
 
     incarnation_id: str
@@ -24,13 +24,14 @@
 
 
 @attrs.frozen
-class BrokenRun:
-    """A run that broke off, or whose caller left while it was under way.
+class InterruptedRun:
+    """A run that failed, or whose caller disconnected before its end.
 
     :param fingerprint: the request.
     :param upstream: where it ran.
-    :param answering_s: how long its answer came; ``None`` if it had not begun.
-    :param is_trial: whether it was the only copy that ran.
+    :param answering_s: time since the first part of the answer; ``None`` if there
+        was none.
+    :param is_trial: whether it ran on trial, as the only copy in the fleet.
     """
 
     fingerprint: str
@@ -39,6 +40,6 @@
     is_trial: bool = False
 
     @property
-    def is_settled(self) -> bool:
-        """Whether it had been answered for too long to have ended its upstream."""
-        return self.answering_s is not None and self.answering_s >= SETTLED_S
+    def is_ruled_out(self) -> bool:
+        """Whether it ran for too long to be the cause of a crash at its start."""
+        return self.answering_s is not None and self.answering_s >= RULED_OUT_AFTER_S
--- a/src/kumquatseam/quarantine/_served.py
+++ b/src/kumquatseam/quarantine/_served.py
@@ -1,18 +1,19 @@
-"""Which requests were served lately."""
+"""The requests that were served recently."""
 
 import collections
 import time
 from collections.abc import Callable
 
-#: requests remembered, the last ones served; a hundred bytes each.
+#: maximum number of requests; the least recently served are evicted. About 100 bytes
+#: each.
 MAX_SERVED = 2048
 
 
-class ServedMemory:
-    """Fingerprints of the requests that upstreams answered whole.
+class ServedRequests:
+    """Fingerprints of the requests that upstreams completed recently.
 
-    What many callers ask for is on several upstreams at any time, so it is there
-    when they crash of something else; that it was served since then clears it.
+    A popular request runs on several upstreams at any time, so it is implicated when
+    they crash for another reason. Having been served since the first crash clears it.
 
     :param clock: monotonic clock in seconds.
     """
@@ -21,14 +22,14 @@
         self._clock = clock
         self._served_s: collections.OrderedDict[str, float] = collections.OrderedDict()
 
-    def note(self, fingerprint: str) -> None:
-        """Note that a request was answered whole just now."""
+    def add(self, fingerprint: str) -> None:
+        """Record that a request was completed just now."""
         self._served_s[fingerprint] = self._clock()
         self._served_s.move_to_end(fingerprint)
         if len(self._served_s) > MAX_SERVED:
             self._served_s.popitem(last=False)
 
     def was_served_within(self, fingerprint: str, age_s: float) -> bool:
-        """Return whether a request was served no longer ago than that."""
+        """Return whether a request was served within the last ``age_s`` seconds."""
         served_s = self._served_s.get(fingerprint)
         return served_s is not None and self._clock() - served_s <= age_s
--- a/src/kumquatseam/quarantine/follower.py
+++ b/src/kumquatseam/quarantine/follower.py
@@ -1,4 +1,4 @@
-"""Following the list of suspects alone."""
+"""Updates of the list of suspected requests, for programs without ``feeds``."""
 
 import gevent
 
@@ -11,19 +11,19 @@
 
 _log = part_logger("quarantine")
 
-#: pause after a read that failed.
+#: pause before a failed read is retried.
 RETRY_PAUSE_S = 0.5
 
 
 class SuspectsFollower(BackgroundTask):
-    """Keeps a list of suspects in step with the log service.
+    """Applies the records of the log service to a list of suspected requests.
 
-    For a program that reads its topics itself; instances that read for each other
-    follow it with the rest (``feeds.TopicFeeds``).
+    Use it in a program that reads its topics directly from the log service. Instances
+    that share their reads follow the topic through ``feeds.TopicFeeds`` instead.
 
     :param log: the log service.
-    :param suspects: the list.
-    :param wait_s: how long one read waits for something new.
+    :param suspects: the list to update.
+    :param wait_s: how long one read waits for new records.
     """
 
     def __init__(self, log: LogService, suspects: SuspectList, wait_s: float) -> None:
@@ -37,5 +37,7 @@
             try:
                 self._copy.take(self._reader.read(self._copy.next_offset, self._wait_s))
             except LogServiceError as error:
-                _log.bind(error=str(error)).warning("List of suspects not read.")
+                _log.bind(error=str(error)).warning(
+                    "List of suspects not read; retrying."
+                )
                 gevent.sleep(RETRY_PAUSE_S)
