--- a/features/steps/cache_feeds_steps.py
+++ b/features/steps/cache_feeds_steps.py
@@ -31,13 +31,13 @@
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
     context.prompt = chain(shared, 500)
-    context.index.note_read("e0", SALT, context.prompt)
+    context.index.note_prefill("e0", SALT, context.prompt)
 
 
 def _says(context, after_s, parts, is_whole=False):
     context.clock.now_s += after_s
     held = [HeldPart(SALT, part_id, tokens) for part_id, tokens in parts]
-    context.index.note_said("e0", held, is_whole)
+    context.index.apply_holder_report("e0", held, is_whole)
 
 
 @when("{seconds:g} seconds later e0 says that it dropped the second part")
@@ -232,7 +232,7 @@
 
 
 def _knowledge(instance, holder):
-    parts = instance.index.said_parts(holder.info.holder)
+    parts = instance.index.held_parts(holder.info.holder)
     return {part.part_id: part.tokens for part in parts}
 
 
@@ -272,7 +272,7 @@
             # Traffic showed that the part is shared: some engine was given it.
             prompt = PromptChain((PromptPart(part_id, 700), PromptPart("end", 5)))
             for instance in world.instances:
-                instance.index.note_read("elsewhere", SALT, prompt)
+                instance.index.note_prefill("elsewhere", SALT, prompt)
             holder.change(part_id, 700)
 
 
@@ -354,7 +354,7 @@
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
     context.prompt = chain(6000, 500)
-    context.index.note_read("e0", SALT, context.prompt, "store:1")
+    context.index.note_prefill("e0", SALT, context.prompt, "store:1")
     context.clock.now_s += 1
     traits = EngineTraits(64, 168_000, ("m0",), 12, 18_432, 370_000.0)
     store = CacheSource("store:1", "store:1", "z0", 28_000.0)
@@ -441,7 +441,7 @@
     assert len(world.tracked) == count
     for holder in world.holders:
         name = holder.info.holder
-        known = {p.part_id for p in instance.index.said_parts(name)}
+        known = {p.part_id for p in instance.index.held_parts(name)}
         expected = set(holder.kept) if name in world.tracked else set()
         assert known == expected, (name, len(known), len(expected))
     assert instance.feeds.asked_holders == world.tracked
--- a/features/steps/cache_plan_steps.py
+++ b/features/steps/cache_plan_steps.py
@@ -21,8 +21,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 STORE = CacheSource("store:1", "store:1", "z0")
@@ -48,17 +48,17 @@
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
     context.prompt = chain(shared, own)
-    context.index.note_read("e0", "1", context.prompt)
+    context.index.note_prefill("e0", "1", context.prompt)
 
 
 @given("it sent them to the store")
 def step_sent(context):
-    context.index.note_read("e0", "1", context.prompt, STORE.address)
+    context.index.note_prefill("e0", "1", context.prompt, STORE.address)
 
 
 @given("engine e1 prefilled it too")
 def step_prefilled_too(context):
-    context.index.note_read("e1", "1", context.prompt)
+    context.index.note_prefill("e1", "1", context.prompt)
 
 
 def _plan(context, engine, salt="1"):
@@ -108,9 +108,9 @@
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
     context.prompt = chain()
-    context.index.note_read("e0", "1", context.prompt)
+    context.index.note_prefill("e0", "1", context.prompt)
     first = context.prompt.shared[0]
-    context.index._drop(("1", first.part_id), "e0")
+    context.index._remove_holder_of(("1", first.part_id), "e0")
 
 
 @given(
@@ -125,7 +125,7 @@
         for n in range(count)
     ]
     for prompt in context.chains:
-        context.index.note_read("e0", "1", prompt)
+        context.index.note_prefill("e0", "1", prompt)
 
 
 @then("the index lists the last {count:d} of them as held")
@@ -169,13 +169,13 @@
 def _build_placer(context, engines):
     context.clock = Clock()
     directory = UpstreamDirectory(context.clock)
-    weights = (WeightsNamed("m0", 1),)
+    weights = (WeightsVersion("m0", 1),)
     for number in range(engines):
         directory.put(
             Upstream(f"e{number}", "engines", f"e{number}:1", "z0", 48, False, weights)
         )
     targets = WeightsTargets(context.clock)
-    targets.take(weights[0])
+    targets.add_new(weights[0])
     context.directory = directory
     context.index = PromptIndex(context.clock)
     context.placer = Placer(
@@ -192,7 +192,9 @@
     )
     placement = context.placer.place(request)
     upstream_id = placement.status.upstream.upstream_id
-    context.index.note_read(upstream_id, placement.salt, prompt, placement.cache_target)
+    context.index.note_prefill(
+        upstream_id, placement.salt, prompt, placement.cache_target
+    )
     context.directory.begin(placement.status, placement.prefill_tokens)
     return placement
 
@@ -269,7 +271,7 @@
     context.index = PromptIndex(context.clock)
     context.index.set_capacity(STORE.address, 50_000)
     old = [HeldPart("0", f"old-{n}", 4000) for n in range(12)]
-    context.index.note_said(STORE.address, old)
+    context.index.apply_holder_report(STORE.address, old)
     context.clock.now_s += age_s
 
 
@@ -279,12 +281,12 @@
     shared = context.prompt.shared
     stored = {"none": (), "the first": shared[:1], "all": shared}[which]
     held = [HeldPart("1", part.part_id, part.tokens) for part in stored]
-    context.index.note_said(STORE.address, held)
+    context.index.apply_holder_report(STORE.address, held)
 
 
 def _compare(context, zones):
     directory = UpstreamDirectory(context.clock)
-    weights = (WeightsNamed("m0", 1),)
+    weights = (WeightsVersion("m0", 1),)
     options = []
     for name, zone in zones.items():
         upstream = Upstream(name, "engines", f"{name}:1", zone, 48, weights=weights)
@@ -317,7 +319,7 @@
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
     context.prompt = chain()
-    context.index.note_read("e0", "1", context.prompt, STORE.address)
+    context.index.note_prefill("e0", "1", context.prompt, STORE.address)
     context.clock.now_s += 1
 
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -31,8 +31,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 
@@ -159,7 +159,7 @@
     directory.put(Upstream("u", "plain", "127.0.0.1:1"))
     context.status = directory.status("u")
     for _ in range(3):
-        directory.note_broken(context.status, "test")
+        directory.note_connection_failure(context.status, "test")
 
 
 @then("it is held out for 2 seconds")
@@ -174,7 +174,7 @@
 def step_waiting(context, left_s, tokens):
     context.clock = Clock()
     directory = UpstreamDirectory(context.clock)
-    weights = (WeightsNamed("m0", 1),)
+    weights = (WeightsVersion("m0", 1),)
     for number in range(3):
         upstream = Upstream(f"e{number}", "engines", "a:1", slots=48, weights=weights)
         directory.put(upstream)
@@ -208,9 +208,9 @@
     directory.put(Upstream("u", "engines", "a:1"))
     context.status = directory.status("u")
     for _ in range(3):
-        occupancy = directory.begin(context.status, 100)
+        in_flight_request = directory.begin(context.status, 100)
         if activity == "streaming answers":
-            occupancy.note_answering()
+            in_flight_request.note_answering()
     context.clock.now_s += 1
     directory.sweep()
 
@@ -275,7 +275,7 @@
     for number in range(40):
         chain = build_request(f"o{number}", f"x{number}").prompt
         upstream_id = f"e{draw.randrange(9)}"
-        index.note_read(upstream_id, "1", chain)
+        index.note_prefill(upstream_id, "1", chain)
         context.sent[number] = (upstream_id, chain)
         context.clock.now_s += 0.05
         exchange.step()
--- a/features/steps/decision_world.py
+++ b/features/steps/decision_world.py
@@ -9,8 +9,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 ENGINES = ServiceTraits("engines", engine=EngineTraits(48, 100_000, ("m0",)))
@@ -19,7 +19,7 @@
 def build_placer(clock, entries):
     directory = UpstreamDirectory(clock)
     for upstream_id, version in entries:
-        weights = (WeightsNamed("m0", version),)
+        weights = (WeightsVersion("m0", version),)
         directory.put(
             Upstream(upstream_id, "engines", "127.0.0.1:1", slots=48, weights=weights)
         )
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -33,7 +33,7 @@
     TrafficShare,
 )
 from kumquatseam.settings import AdmissionSettings
-from kumquatseam.upstreams import Upstream, UpstreamDirectory, WeightsNamed
+from kumquatseam.upstreams import Upstream, UpstreamDirectory, WeightsVersion
 
 EVENTS = [b"id: %d\ndata: x\n\n" % number for number in range(1, 5)]
 ADDRESSES = {"source": "10.0.0.1:1", "target": "10.0.0.2:1", "other": "10.0.0.3:1"}
@@ -133,7 +133,7 @@
     live.apply(RouteTable(1, (route,), (traits,)), "test")
     directory = UpstreamDirectory()
     for name, address in ADDRESSES.items():
-        weights = (WeightsNamed("m0", 1),)
+        weights = (WeightsVersion("m0", 1),)
         directory.put(Upstream(name, "engines", address, weights=weights))
     directory.status("source").move_runs_to = ("target",)
     context.pool = ScriptedPool(unreached)
@@ -164,7 +164,7 @@
 @given("a stream that could move, whose engine is known to run other weights by now")
 def step_changed_under_it(context):
     _build(context, 0)
-    context.placer.directory.status("source").note_answered("m0", 2, time.monotonic())
+    context.placer.directory.status("source").record_version("m0", 2, time.monotonic())
 
 
 @then("only its own engine was tried")
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -230,7 +230,7 @@
 @when("one instance sends a prompt to an upstream")
 def step_sends_prompt(context):
     side = context.fleet_model.alive()[-1]
-    side.index.note_read("e0", "1", PROMPT, "store:1")
+    side.index.note_prefill("e0", "1", PROMPT, "store:1")
     side.directory.begin(side.directory.status("e0"), 5000)
 
 
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -13,7 +13,7 @@
 
 from kumquatseam.peers import LoadExchange, LoadSummary, RolloutNotice, UpstreamLoad
 from kumquatseam.placement import BroadcastWork
-from kumquatseam.prompts import PromptChain, PromptIndex, PromptPart, PromptRead
+from kumquatseam.prompts import PromptChain, PromptIndex, PromptPart, PromptPrefill
 from kumquatseam.rollouts import (
     EngineReport,
     OrderClient,
@@ -25,8 +25,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 MODEL = "m0"
@@ -34,7 +34,7 @@
 
 
 def incarnation(born_ms, version=1):
-    weights = (WeightsNamed(MODEL, version),)
+    weights = (WeightsVersion(MODEL, version),)
     return Upstream("e0", "engines", "a:1", weights=weights, born_ms=born_ms)
 
 
@@ -66,11 +66,11 @@
     side = context.side = Side(context.clock)
     side.directory.put(incarnation(born_ms))
     status = side.status()
-    side.index.note_read(status.upstream.incarnation_id, "1", PROMPT)
+    side.index.note_prefill(status.upstream.incarnation_id, "1", PROMPT)
     side.directory.begin(status, 4300)
-    side.directory.note_broken(status, "test")
-    status.note_orders(5, context.clock())
-    status.note_answered(MODEL, 9, context.clock())
+    side.directory.note_connection_failure(status, "test")
+    status.note_inferred_orders(5, context.clock())
+    status.record_version(MODEL, 9, context.clock())
     assert side.held_tokens() == 4000
 
 
@@ -116,7 +116,7 @@
 
 
 def _publish_earlier(context):
-    read = PromptRead(context.earlier, "1", PROMPT.shared)
+    read = PromptPrefill(context.earlier, "1", PROMPT.shared)
     loads = (UpstreamLoad(context.earlier, 3, 900),)
     for side in context.sides:
         side.bus.publish(LoadSummary(side.bus.name, loads, (read,)))
@@ -159,7 +159,7 @@
         directory.put(incarnation(1000))
     context.earlier = context.side.status() if born_ms > 1000 else None
     directory.put(incarnation(born_ms, version))
-    context.side.status().note_orders(orders, context.clock())
+    context.side.status().note_inferred_orders(orders, context.clock())
 
 
 class ScriptedClient(OrderClient):
@@ -219,7 +219,7 @@
 
 
 def _report(born_ms, version, orders):
-    weights = (WeightsNamed(MODEL, version),)
+    weights = (WeightsVersion(MODEL, version),)
     return EngineReport(weights, False, orders, 0, 0, born_ms)
 
 
@@ -233,16 +233,16 @@
     elif message == "a report with weights 4":
         _poll(context, context.side.status(), _report(1000, 4, 9))
     elif message == "an answer with weights 4":
-        earlier.note_answered(MODEL, 4, now_s)
+        earlier.record_version(MODEL, 4, now_s)
     elif message == "an order's acceptance":
-        earlier.note_orders(8, now_s)
+        earlier.note_inferred_orders(8, now_s)
     elif message == "a notice that it is ready":
         name = earlier.upstream.incarnation_id
         notice = RolloutNotice("b", 9, 1, MODEL, 4, (name,), (name,), (name,))
         assert context.view.apply_notice(notice)
     else:
         assert message == "a broken connection", message
-        directory.note_broken(earlier, "test")
+        directory.note_connection_failure(earlier, "test")
 
 
 @when(
@@ -277,7 +277,7 @@
 
 @when("weights 2 become the target and the engine is ordered to load them")
 def step_ordered(context):
-    context.targets.take(WeightsNamed(MODEL, 2))
+    context.targets.add_new(WeightsVersion(MODEL, 2))
     run_duty(context)
     assert len(context.client.orders) == 1, context.client.orders
 
@@ -311,7 +311,7 @@
 @when("the engine has loaded them")
 def step_loaded(context):
     status = context.side.status()
-    status.note_answered(MODEL, 2, context.clock())
+    status.record_version(MODEL, 2, context.clock())
     context.published = []
     context.side.bus.publish = context.published.append
     context.clock.now_s += 0.3
--- a/features/steps/rollout_world.py
+++ b/features/steps/rollout_world.py
@@ -12,7 +12,7 @@
 from restart_steps import MODEL
 
 from kumquatseam.rollouts import EngineReport, LoadMode, OrderClient, OrderOutcome
-from kumquatseam.upstreams import Upstream, WeightsNamed
+from kumquatseam.upstreams import Upstream, WeightsVersion
 
 #: how old a report is.
 REPORT_AGE_S = 0.3
@@ -117,7 +117,7 @@
             return None
         snapshot = [m for m in self.snapshots if m.at_s <= now_s - REPORT_AGE_S][-1]
         return EngineReport(
-            (WeightsNamed(self.upstream.weights[0].model, snapshot.version),),
+            (WeightsVersion(self.upstream.weights[0].model, snapshot.version),),
             snapshot.is_busy,
             snapshot.accepted,
             0,
@@ -143,7 +143,7 @@
 
     def add(self, number, version, load_s, model=MODEL, service="engines"):
         """Add an engine and return its entry."""
-        weights = (WeightsNamed(model, version),)
+        weights = (WeightsVersion(model, version),)
         upstream = Upstream(
             f"e{number}", service, f"a:{number}", slots=48, weights=weights
         )
--- a/features/steps/trackers_steps.py
+++ b/features/steps/trackers_steps.py
@@ -254,7 +254,7 @@
     elif change == "is gone":
         side.directory.remove(engine)
     else:
-        status.note_answered("m0", 2, side.fleet.clock())
+        status.record_version("m0", 2, side.fleet.clock())
 
 
 @when("an engine {change} while others are asked about it")
@@ -366,9 +366,11 @@
         if step < 0.55:
             fleet.place(number, f"o{draw.randrange(8)}")
         elif step < 0.85 and fleet.placed:
-            _, _, occupancy = fleet.placed.pop(draw.randrange(len(fleet.placed)))
-            occupancy.note_answering()
-            occupancy.end()
+            _, _, in_flight_request = fleet.placed.pop(
+                draw.randrange(len(fleet.placed))
+            )
+            in_flight_request.note_answering()
+            in_flight_request.end()
         elif step < 0.90 and len(fleet.up()) > 12:
             draw.choice(fleet.up()).is_up = False
         elif step < 0.95:
@@ -413,8 +415,8 @@
     net.loss, net.repeats, net.longest_delay_s = 0.0, 0.0, 0.003
     for side in fleet.sides:
         side.is_up = True
-    for _, _, occupancy in fleet.placed:
-        occupancy.end()
+    for _, _, in_flight_request in fleet.placed:
+        in_flight_request.end()
     fleet.placed.clear()
     fleet.run(15.0)
 
--- a/features/steps/trackers_world.py
+++ b/features/steps/trackers_world.py
@@ -21,8 +21,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 CODEC = MessageCodec("datagram", TRACKER_KINDS, is_compact=True)
@@ -70,7 +70,7 @@
         self.clock = Clock()
         self.draw = random.Random(seed)
         self.net = ModelledNet(self.clock, self.draw, CODEC)
-        weights = (WeightsNamed("m0", 1),)
+        weights = (WeightsVersion("m0", 1),)
         self.upstreams = [
             Upstream(f"e{n}", "engines", "127.0.0.1:1", slots=24, weights=weights)
             for n in range(engines)
@@ -101,12 +101,12 @@
         if placement is None:
             self.unplaced += 1
             return None
-        occupancy = side.work.begin(placement.request_work(LASTS_S))
+        in_flight_request = side.work.begin(placement.request_work(LASTS_S))
         self.run(0.004)
-        self.placed.append((side, placement, occupancy))
+        self.placed.append((side, placement, in_flight_request))
         if ends:
-            occupancy.note_answering()
-            occupancy.end()
+            in_flight_request.note_answering()
+            in_flight_request.end()
             self.run(0.004)
             self.placed.pop()
         return placement
--- a/features/steps/waiting_world.py
+++ b/features/steps/waiting_world.py
@@ -29,8 +29,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 #: the grace period in these tests, with the margin for propagation delay.
@@ -109,7 +109,7 @@
 
     def __init__(self, is_resumable):
         self.targets = WeightsTargets()
-        self.targets.take(WeightsNamed("m0", 1))
+        self.targets.add_new(WeightsVersion("m0", 1))
         self.directory = UpstreamDirectory()
         self.engines = {}
         self.named_s = None
@@ -155,14 +155,14 @@
         self.list_engine(name, engine.version)
 
     def list_engine(self, name, version):
-        weights = (WeightsNamed("m0", version),)
+        weights = (WeightsVersion("m0", version),)
         address = self.engines[name].address
         self.directory.put(
             Upstream(name, "engines", address, slots=24, weights=weights)
         )
 
     def name_weights(self, version):
-        self.targets.take(WeightsNamed("m0", version))
+        self.targets.add_new(WeightsVersion("m0", version))
         self.named_s = time.monotonic()
 
     def serve(self):
--- a/features/steps/weights_begun_late_steps.py
+++ b/features/steps/weights_begun_late_steps.py
@@ -20,7 +20,7 @@
     LogStore,
     LogStoreLimits,
 )
-from kumquatseam.upstreams import WeightsNamed, WeightsTargets
+from kumquatseam.upstreams import WeightsTargets, WeightsVersion
 
 MODEL = "m0"
 TOPIC = "keyed.op"
@@ -67,7 +67,7 @@
 
 
 def _name_weights(context, version):
-    context.targets.take(WeightsNamed(MODEL, version))
+    context.targets.add_new(WeightsVersion(MODEL, version))
 
 
 @given("an instance that knows no target weights, with an engine on weights 1")
@@ -109,7 +109,7 @@
 
 @when("the lease holder announces that they were named {age_s:g} seconds ago")
 def step_announced(context, age_s):
-    context.targets.hear(WeightsNamed(MODEL, 2), age_s, 1)
+    context.targets.add_from_peer(WeightsVersion(MODEL, 2), age_s, 1)
 
 
 @when(
@@ -117,7 +117,7 @@
     "ago, replacing {replaced:d}"
 )
 def step_announced_replacing(context, version, age_s, replaced):
-    context.targets.hear(WeightsNamed(MODEL, version), age_s, replaced)
+    context.targets.add_from_peer(WeightsVersion(MODEL, version), age_s, replaced)
 
 
 @then("requests may begin on weights 1")
--- a/features/steps/weights_left_behind_steps.py
+++ b/features/steps/weights_left_behind_steps.py
@@ -8,7 +8,7 @@
 
 from kumquatseam.rollouts import RolloutBounds, RolloutView
 from kumquatseam.routes import EngineTraits, ServiceTraits
-from kumquatseam.upstreams import WeightsNamed, WeightsTargets
+from kumquatseam.upstreams import WeightsTargets, WeightsVersion
 
 
 def build_world(context, models):
@@ -77,9 +77,9 @@
 def list_engines(context):
     for status in context.side.directory.all():
         engine = context.client.engines[status.upstream.upstream_id]
-        weights = (WeightsNamed(MODEL, engine.version),)
+        weights = (WeightsVersion(MODEL, engine.version),)
         context.side.directory.put(attrs.evolve(status.upstream, weights=weights))
-    context.side.directory.note_listed()
+    context.side.directory.confirm_entries()
 
 
 @when("one engine refuses every order from now on")
@@ -92,7 +92,7 @@
     engine = next(iter(context.client.engines.values()))
     assert engine.version == runs, engine.version
     status = context.side.directory.status(engine.upstream.incarnation_id)
-    status.note_answered(MODEL, version, context.clock())
+    status.record_version(MODEL, version, context.clock())
 
 
 @given("each engine has {runs:d} runs, in {zones:d} availability zones")
@@ -139,7 +139,7 @@
 
 @when("weights {version:d} become the target, and {for_s:g} seconds pass")
 def step_named(context, version, for_s):
-    context.targets.take(WeightsNamed(MODEL, version))
+    context.targets.add_new(WeightsVersion(MODEL, version))
     pass_time(context, for_s)
 
 
@@ -148,7 +148,7 @@
 )
 def step_all_named(context, version, models, for_s):
     for number in range(models):
-        context.targets.take(WeightsNamed(f"m{number}", version))
+        context.targets.add_new(WeightsVersion(f"m{number}", version))
     pass_time(context, for_s)
 
 
@@ -160,7 +160,7 @@
     context.named_s = {}
     context.reached_s = {}
     for version in range(2, 2 + count):
-        context.targets.take(WeightsNamed(MODEL, version))
+        context.targets.add_new(WeightsVersion(MODEL, version))
         context.named_s[version] = context.clock()
         pass_time(context, pause_s, lambda: note_reached(context))
     pass_time(context, for_s - pause_s, lambda: note_reached(context))
@@ -190,7 +190,7 @@
 def step_count_too_high(context, count):
     for status in context.side.directory.all():
         known = status.orders_accepted or 0
-        status.note_orders(known + count, context.clock())
+        status.note_inferred_orders(known + count, context.clock())
 
 
 @then("{count:d} engines run weights {version:d}")
--- a/features/steps/weights_steps.py
+++ b/features/steps/weights_steps.py
@@ -7,8 +7,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 
@@ -16,8 +16,8 @@
 def step_old_engine(context):
     context.clock = Clock()
     context.placer, context.targets = build_placer(context.clock, [("e0", 1)])
-    context.targets.take(WeightsNamed("m0", 1))
-    context.targets.take(WeightsNamed("m0", 2))
+    context.targets.add_new(WeightsVersion("m0", 1))
+    context.targets.add_new(WeightsVersion("m0", 2))
     context.named_s = context.clock.now_s
 
 
@@ -42,7 +42,7 @@
     clock = context.clock = Clock()
     context.targets = WeightsTargets(clock)
     for version in (2, 3, 4):
-        context.targets.take(WeightsNamed("m0", version))
+        context.targets.add_new(WeightsVersion("m0", version))
         clock.now_s += 4
 
 
@@ -59,11 +59,11 @@
     context.clock = Clock()
     entries = [("e0", 1), ("e1", 1)]
     context.placer, context.targets = build_placer(context.clock, entries)
-    context.targets.take(WeightsNamed("m0", 1))
+    context.targets.add_new(WeightsVersion("m0", 1))
     context.run = context.placer.place(build_request())
     (other,) = {"e0", "e1"} - {context.run.status.upstream.upstream_id}
     context.run.status.move_runs_to = (other,)
-    context.targets.take(WeightsNamed("m0", 2))
+    context.targets.add_new(WeightsVersion("m0", 2))
     context.named_s = context.clock.now_s
 
 
@@ -81,9 +81,9 @@
     context.clock = Clock()
     context.placer, context.targets = build_placer(context.clock, entries)
     if known is not None:
-        context.targets.take(WeightsNamed("m0", known))
+        context.targets.add_new(WeightsVersion("m0", known))
     else:
-        context.targets.take_known(WeightsNamed("m0", 2))
+        context.targets.add_with_unknown_age(WeightsVersion("m0", 2))
     context.named_s = context.clock.now_s
 
 
@@ -107,7 +107,7 @@
 
 @when("a peer reports that weights 2 were named {age_s:d} seconds ago")
 def step_peer_reports(context, age_s):
-    context.targets.hear(WeightsNamed("m0", 2), age_s)
+    context.targets.add_from_peer(WeightsVersion("m0", 2), age_s)
 
 
 @when("weights 2 have been known for {age_s:d} seconds")
@@ -135,7 +135,7 @@
 
 
 def _entry(version):
-    return Upstream("u", "engines", "a:1", weights=(WeightsNamed("m0", version),))
+    return Upstream("u", "engines", "a:1", weights=(WeightsVersion("m0", version),))
 
 
 @given("an engine known to run weights {version:d} after {orders:d} orders")
@@ -166,7 +166,7 @@
 
 @when("one of its answers names weights {version:d}")
 def step_answer_names(context, version):
-    context.status.note_answered("m0", version, context.clock())
+    context.status.record_version("m0", version, context.clock())
 
 
 @then("it is known to run weights {version:d}")
@@ -179,12 +179,12 @@
     context.clock = Clock()
     entries = [("e0", 1), ("e1", 3), ("e2", 4)]
     context.placer, context.targets = build_placer(context.clock, entries)
-    context.targets.take_known(WeightsNamed("m0", 4))
+    context.targets.add_with_unknown_age(WeightsVersion("m0", 4))
 
 
 @when("a peer reports that weights 4 replaced weights {before:d} {age_s:d} seconds ago")
 def step_peer_reports_before(context, age_s, before):
-    context.targets.hear(WeightsNamed("m0", 4), age_s, before)
+    context.targets.add_from_peer(WeightsVersion("m0", 4), age_s, before)
 
 
 @then("its requests go to engines on weights 3 and 4 only")
--- a/features/steps/weights_that_crash_steps.py
+++ b/features/steps/weights_that_crash_steps.py
@@ -8,7 +8,7 @@
 from restart_steps import MODEL, Side, build_duty, incarnation, run_duty, step_engine
 
 from kumquatseam.rollouts import OrderClient, OrderOutcome
-from kumquatseam.upstreams import WeightsNamed
+from kumquatseam.upstreams import WeightsVersion
 
 #: pause between two steps of the duty.
 STEP_S = 0.5
@@ -92,7 +92,7 @@
                         self.crash(known)
             elif kind == "loaded":
                 if self.runs(upstream):
-                    weights = (WeightsNamed(MODEL, 2),)
+                    weights = (WeightsVersion(MODEL, 2),)
                     self.side.directory.put(attrs.evolve(upstream, weights=weights))
             elif kind == "lapse":
                 self.side.directory.remove(upstream.upstream_id)
@@ -140,24 +140,24 @@
 @when("weights 2 become the target")
 def step_loadable_named(context):
     context.client.crashing = set()
-    context.targets.take(WeightsNamed(MODEL, 2))
+    context.targets.add_new(WeightsVersion(MODEL, 2))
 
 
 @when("weights 2 become the target, and crash each engine that begins to load them")
 def step_crashing_named(context):
-    context.targets.take(WeightsNamed(MODEL, 2))
+    context.targets.add_new(WeightsVersion(MODEL, 2))
 
 
 @when("weights 2 become the target, and 3 engines crash for another reason meanwhile")
 def step_some_crash(context):
     context.client.crashing = {2, 5, 7}
-    context.targets.take(WeightsNamed(MODEL, 2))
+    context.targets.add_new(WeightsVersion(MODEL, 2))
 
 
 @when("weights 2 become the target, and the first {count:d} engines ordered crash")
 def step_first_crash(context, count):
     context.client.crashing = set(range(1, count + 1))
-    context.targets.take(WeightsNamed(MODEL, 2))
+    context.targets.add_new(WeightsVersion(MODEL, 2))
 
 
 @when("another instance takes over the lease, with the notices it has received")
--- a/features/steps/weights_waited_for_steps.py
+++ b/features/steps/weights_waited_for_steps.py
@@ -12,8 +12,8 @@
 from kumquatseam.upstreams import (
     Upstream,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 #: prompt tokens that an engine is modelled to prefill in a second.
@@ -23,7 +23,7 @@
 
 
 def _put_engine(context, name):
-    weights = (WeightsNamed("m0", 1),)
+    weights = (WeightsVersion("m0", 1),)
     context.directory.put(
         Upstream(name, "engines", "127.0.0.1:1", slots=48, weights=weights)
     )
@@ -53,8 +53,8 @@
         replaced_weights_grace=ReplacedWeightsGrace(grace_s, PROPAGATION_S),
     )
     context.engine = _put_engine(context, "e0")
-    context.targets.take(WeightsNamed("m0", 1))
-    context.targets.take(WeightsNamed("m0", 2))
+    context.targets.add_new(WeightsVersion("m0", 1))
+    context.targets.add_new(WeightsVersion("m0", 2))
     context.named_s = clock.now_s
 
 
--- a/src/kumquatseam/cachefeeds/_feeds.py
+++ b/src/kumquatseam/cachefeeds/_feeds.py
@@ -134,7 +134,7 @@
         if is_same_epoch and update.next_number < known.next_number:
             return
         self._known[update.holder] = attrs.evolve(update, parts=())
-        self._index.note_said(update.holder, update.parts, update.is_whole)
+        self._index.apply_holder_report(update.holder, update.parts, update.is_whole)
 
     def answer(self, question: IndexQuestion) -> IndexAnswer:
         """Return all that is known, for an instance that starts."""
@@ -144,7 +144,7 @@
                     name,
                     update.epoch,
                     update.next_number,
-                    self._worth_telling(self._index.said_parts(name), True),
+                    self._worth_telling(self._index.held_parts(name), True),
                     is_whole=True,
                 )
                 for name, update in self._known.items()
@@ -189,7 +189,7 @@
         """Take in what a holder told this instance, and tell the others."""
         self._known[update.holder] = attrs.evolve(update, parts=())
         parts = self._worth_telling(update.parts, update.is_whole)
-        self._index.note_said(update.holder, update.parts, update.is_whole)
+        self._index.apply_holder_report(update.holder, update.parts, update.is_whole)
         self._fresh.append(
             HolderUpdate(
                 update.holder, update.epoch, update.next_number, parts, update.is_whole
@@ -210,5 +210,5 @@
             part
             for part in parts
             if (is_whole and part.tokens >= least)
-            or (not is_whole and self._index.is_known(part.salt, part.part_id))
+            or (not is_whole and self._index.is_held(part.salt, part.part_id))
         )
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -37,7 +37,7 @@
 from kumquatseam.placement import Placement, PlacementRequest, SentRequest
 from kumquatseam.quarantine import QuarantinedError, RunPermission, RunUpstream
 from kumquatseam.rollouts import MovedRun
-from kumquatseam.upstreams import Occupancy
+from kumquatseam.upstreams import InFlightRequest
 
 _log = part_logger("exchange")
 
@@ -258,7 +258,9 @@
     def _after_connect_failure(
         self, placement: Placement, error: ConnectFailedError
     ) -> None:
-        self._parts.directory.note_broken(placement.status, "connect failed")
+        self._parts.directory.note_connection_failure(
+            placement.status, "connect failed"
+        )
         self._log_failure(placement, str(error))
         if placement.moved_run is not None:
             self._after_unreached_move(placement, error)
@@ -285,7 +287,7 @@
             self._give_up(Reason.BROKEN, f"not reached after a move: {error}")
 
     def _after_broken(self, placement: Placement, error: AnswerBrokenError) -> None:
-        self._parts.directory.note_broken(placement.status, "answer broken")
+        self._parts.directory.note_connection_failure(placement.status, "answer broken")
         self._parts.pool.drop(placement.status.upstream.address)
         self._events.drop_partial()
         upstream = self._run_upstream(placement)
@@ -377,14 +379,14 @@
         self._placement = placement
         self._sent_request = None
         connection = self._parts.pool.take(address, self._job.remaining_s)
-        occupancy = self._parts.work.begin(
+        in_flight_request = self._parts.work.begin(
             placement.request_work(self._job.remaining_s)
         )
         self._has_kept_connection = False
         try:
-            return self._converse(placement, connection, occupancy)
+            return self._converse(placement, connection, in_flight_request)
         finally:
-            occupancy.end()
+            in_flight_request.end()
             if self._sent_request is not None:
                 self._sent_request.end()
             if not self._has_kept_connection:
@@ -394,7 +396,7 @@
         self,
         placement: Placement,
         connection: UpstreamConnection,
-        occupancy: Occupancy,
+        in_flight_request: InFlightRequest,
     ) -> tuple[bool, str]:
         job = self._job
         if placement.moved_run is None:
@@ -413,7 +415,7 @@
             wait,
             lambda head: dialect.read_answer(head).is_not_run,
         )
-        occupancy.note_answering()
+        in_flight_request.note_answering()
         traits = dialect.read_answer(head)
         self._learn(placement, head, traits)
         wait.until_s = self._body_until_s()
@@ -428,7 +430,7 @@
         if self._caller.has_answered and head.status != 200:
             raise AnswerBrokenError(connection.address, f"no resume: {head.status}")
         if job.route.is_stream and head.status == 200:
-            reading = StreamReading(placement, connection, traits, occupancy)
+            reading = StreamReading(placement, connection, traits, in_flight_request)
             return self._pass_stream(reading, head, wait)
         return self._pass_whole(connection, head, traits, wait)
 
@@ -478,7 +480,7 @@
     ) -> None:
         status, model = placement.status, self._job.call.model
         if model and traits.weights_version is not None:
-            status.note_answered(model, traits.weights_version, time.monotonic())
+            status.record_version(model, traits.weights_version, time.monotonic())
         if traits.is_not_run:
             _log.bind(
                 request=self._job.call.request_id,
@@ -487,7 +489,7 @@
                 version=traits.weights_version,
             ).info("Refused by the upstream.")
             if traits.answering_id not in ("", status.upstream.upstream_id):
-                self._parts.directory.note_replaced(status, traits.answering_id)
+                self._parts.directory.note_address_reused(status, traits.answering_id)
             else:
                 self._parts.directory.block(status, REFUSED_BLOCK_S)
             return
@@ -567,7 +569,7 @@
         try:
             while data := connection.read_body(wait):
                 wait.note_begun()
-                reading.occupancy.note_heard()
+                reading.in_flight_request.note_heard()
                 wait.until_s = self._body_until_s()
                 self._send_events(head, keep, self._events.feed(data))
                 relocation.begin_if_due()
--- a/src/kumquatseam/gateway/_gauges.py
+++ b/src/kumquatseam/gateway/_gauges.py
@@ -49,7 +49,7 @@
     metrics.gauge("upstreams", lambda: len(directory.all()))
     metrics.gauge(
         "upstream_list_age_seconds",
-        lambda: time.monotonic() - (directory.listed_s or 0.0),
+        lambda: time.monotonic() - (directory.list_confirmed_s or 0.0),
     )
     metrics.gauge("upstreams_held_out", lambda: _count_held_out(directory))
     metrics.gauge(
@@ -81,8 +81,8 @@
     metrics.counter("peer_bytes_received", lambda: parts.bus.received_bytes)
     metrics.counter("datagrams_sent", lambda: parts.datagrams.sent)
     metrics.counter("datagrams_received", lambda: parts.datagrams.received)
-    metrics.counter("trackers_asked", lambda: client.asked)
-    metrics.counter("trackers_silent", lambda: client.unanswered)
+    metrics.counter("trackers_asked", lambda: client.query_count)
+    metrics.counter("trackers_silent", lambda: client.timeout_count)
 
 
 def _count_held_out(directory: UpstreamDirectory) -> int:
--- a/src/kumquatseam/gateway/_outcomes.py
+++ b/src/kumquatseam/gateway/_outcomes.py
@@ -5,7 +5,7 @@
 from kumquatseam.gateway._call import AnswerTraits
 from kumquatseam.http1 import ResponseHead, UpstreamConnection
 from kumquatseam.placement import Placement
-from kumquatseam.upstreams import Occupancy
+from kumquatseam.upstreams import InFlightRequest
 
 
 @attrs.define
@@ -55,7 +55,7 @@
     placement: Placement
     connection: UpstreamConnection
     traits: AnswerTraits
-    occupancy: Occupancy
+    in_flight_request: InFlightRequest
 
 
 class NotRunError(Exception):
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -60,7 +60,7 @@
 from kumquatseam.settings import AdmissionSettings, GatewayFile
 from kumquatseam.trackers import (
     TRACKER_KINDS,
-    FleetWork,
+    FleetSizeSwitch,
     LoadTracker,
     TrackedWork,
     TrackerClient,
@@ -284,13 +284,13 @@
             return None
         return view.position
 
-    def _build_work(self) -> FleetWork:
+    def _build_work(self) -> FleetSizeSwitch:
         """Return what knows the work of all instances, whatever their number."""
         name = self._bus.name
         order = RendezvousOrder(lambda: self._bus.records)
         client = TrackerClient(name, order, self._datagrams, self._tracker)
         self._tracker_client = client
-        return FleetWork(
+        return FleetSizeSwitch(
             lambda: self._bus.view().is_direct,
             BroadcastWork(self._directory, self._index, self._loads.on_upstream),
             TrackedWork(client, self._directory, name),
--- a/src/kumquatseam/peers/_loads.py
+++ b/src/kumquatseam/peers/_loads.py
@@ -152,7 +152,7 @@
         return HEARTBEAT_S if view.is_in_council else STANDBY_PAUSE_S
 
     def _publish_loads(self) -> None:
-        self._published_changes = self._directory.changes
+        self._published_changes = self._directory.requests_sent
         self._bus.publish(
             LoadSummary(
                 self._bus.name,
@@ -161,7 +161,7 @@
                     for s in self._directory.all()
                     if s.running
                 ),
-                tuple(self._index.take_fresh(MAX_READS)),
+                tuple(self._index.pop_unsent_prefills(MAX_READS)),
                 tuple(self._held_news.take_fresh()),
             )
         )
@@ -179,7 +179,7 @@
         """Take in another instance's loads."""
         self._totals.put(summary.sender, summary.loads, self._clock())
         for read in summary.reads:
-            self._index.note_peer_read(read)
+            self._index.note_peer_prefill(read)
         for update in summary.held:
             self._held_news.take_update(update)
 
@@ -189,7 +189,7 @@
         return UpstreamLoad(incarnation_id, found.running, found.pending_tokens)
 
     def _pause_s(self, view: FleetView) -> float:
-        is_quiet = self._directory.changes == self._published_changes
+        is_quiet = self._directory.requests_sent == self._published_changes
         if is_quiet or not view.is_direct:
             return HEARTBEAT_S
         return max(MIN_PAUSE_S, PAUSE_PER_PEER_S * self.count_instances())
--- a/src/kumquatseam/peers/_messages.py
+++ b/src/kumquatseam/peers/_messages.py
@@ -3,7 +3,7 @@
 import attrs
 
 from kumquatseam.codec import MessageCodec
-from kumquatseam.prompts import HolderUpdate, PromptRead
+from kumquatseam.prompts import HolderUpdate, PromptPrefill
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
 
     sender: str
     loads: tuple[UpstreamLoad, ...]
-    reads: tuple[PromptRead, ...] = ()
+    reads: tuple[PromptPrefill, ...] = ()
     held: tuple[HolderUpdate, ...] = ()
 
 
--- a/src/kumquatseam/placement/_cache_plan.py
+++ b/src/kumquatseam/placement/_cache_plan.py
@@ -68,7 +68,7 @@
     ) -> None:
         self._prompt = prompt
         self._holders = holders
-        self._known_tokens = holders.known_tokens()
+        self._known_tokens = holders.held_anywhere_tokens()
         self._traits = traits
         self._sources: list[tuple[int, CacheSource]] = []
         for source in sources:
--- a/src/kumquatseam/placement/_placer.py
+++ b/src/kumquatseam/placement/_placer.py
@@ -188,7 +188,7 @@
             > shortest_s
         ]
         is_age_unknown = self._targets.age_s(model) == UNKNOWN_AGE_S
-        is_starting = self._targets.learnt_age_s(model) <= STARTUP_GRACE_S
+        is_starting = self._targets.known_for_s(model) <= STARTUP_GRACE_S
         if not in_time and is_age_unknown and is_starting:
             return known
         return in_time
@@ -353,7 +353,9 @@
             fetched_from=plan.source.holder if plan and plan.source else "",
             prompt_tokens=request.prompt.tokens,
             shared_tokens=request.prompt.shared_tokens,
-            list_age_s=round(self._clock() - (self._directory.listed_s or 0.0), 2),
+            list_age_s=round(
+                self._clock() - (self._directory.list_confirmed_s or 0.0), 2
+            ),
         ).debug("Placed.")
 
     def _replaced_s(self, model: str, choice: EngineChoice | None) -> float | None:
--- a/src/kumquatseam/placement/_work.py
+++ b/src/kumquatseam/placement/_work.py
@@ -15,7 +15,7 @@
 from kumquatseam.peers import UpstreamLoad
 from kumquatseam.placement._choice import RANK_MS
 from kumquatseam.prompts import PartHolders, PromptChain, PromptIndex
-from kumquatseam.upstreams import Occupancy, UpstreamDirectory, UpstreamStatus
+from kumquatseam.upstreams import InFlightRequest, UpstreamDirectory, UpstreamStatus
 
 
 @attrs.frozen
@@ -138,7 +138,7 @@
         """
 
     @abc.abstractmethod
-    def begin(self, work: RequestWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> InFlightRequest:
         """Count a request that is about to be sent."""
 
 
@@ -178,8 +178,8 @@
             found[incarnation_id] = own + self._peer_loads(incarnation_id).running
         return found
 
-    def begin(self, work: RequestWork) -> Occupancy:
-        self._index.note_read(
+    def begin(self, work: RequestWork) -> InFlightRequest:
+        self._index.note_prefill(
             work.status.upstream.incarnation_id,
             work.salt,
             work.prompt,
--- a/src/kumquatseam/platform/_entries.py
+++ b/src/kumquatseam/platform/_entries.py
@@ -11,7 +11,7 @@
 
 from kumquatseam.platform._values import decode_json
 from kumquatseam.rollouts import EngineReport, MovedRun
-from kumquatseam.upstreams import Upstream, WeightsNamed
+from kumquatseam.upstreams import Upstream, WeightsVersion
 
 #: larger figures are nonsense; a thousand times what engines have.
 _MAX_SLOTS = 65_536
@@ -85,11 +85,11 @@
     return MovedRun(source, _text(raw, "handle"), _count(raw, "createRevision"))
 
 
-def _weights(models: object) -> tuple[WeightsNamed, ...]:
+def _weights(models: object) -> tuple[WeightsVersion, ...]:
     if not isinstance(models, list):
         raise ValueError(f"models: {models!r}")
     return tuple(
-        WeightsNamed(_text(item, "name"), _count(item, "version")) for item in models
+        WeightsVersion(_text(item, "name"), _count(item, "version")) for item in models
     )
 
 
--- a/src/kumquatseam/platform/_records.py
+++ b/src/kumquatseam/platform/_records.py
@@ -15,7 +15,7 @@
     TeamTraits,
     TrafficShare,
 )
-from kumquatseam.upstreams import WeightsNamed
+from kumquatseam.upstreams import WeightsVersion
 
 #: the unit of a quota that counts tokens; any other one counts requests.
 _COUNTED_IN_TOKENS = "token_stream"
@@ -29,13 +29,13 @@
     return decode_json("configuration", value, _route_table)
 
 
-def decode_weights(value: bytes) -> WeightsNamed:
+def decode_weights(value: bytes) -> WeightsVersion:
     """Return the weights an operator named.
 
     :raises DecodingError: if there are none.
     """
     return decode_json(
-        "weights", value, lambda raw: WeightsNamed(raw["model"], int(raw["version"]))
+        "weights", value, lambda raw: WeightsVersion(raw["model"], int(raw["version"]))
     )
 
 
--- a/src/kumquatseam/platform/_topics.py
+++ b/src/kumquatseam/platform/_topics.py
@@ -8,8 +8,8 @@
 from kumquatseam.routes import LiveRouteTable
 from kumquatseam.upstreams import (
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 OPERATOR_TOPIC = "keyed.op"
@@ -50,11 +50,11 @@
             _log.bind(key=key, error=str(error)).error("Record ignored.")
         return True
 
-    def _take_weights(self, named: WeightsNamed, learning: Learning) -> None:
+    def _take_weights(self, named: WeightsVersion, learning: Learning) -> None:
         if learning.is_history:
-            self._targets.take_known(named)
+            self._targets.add_with_unknown_age(named)
         else:
-            self._targets.take(named, learning.unseen_s)
+            self._targets.add_new(named, learning.unseen_s)
 
 
 class UpstreamListener(KeyedListener):
@@ -75,12 +75,12 @@
             upstream = decode_upstream(key, value)
         except DecodingError as error:
             self._note_unreadable(key, error)
-            return self._directory.close_unreadable(key)
+            return self._directory.mark_unreadable(key)
         self._unreadable.discard(key)
         return self._directory.put(upstream)
 
     def note_synced(self) -> None:
-        self._directory.note_listed()
+        self._directory.confirm_entries()
 
     def _note_unreadable(self, key: str, error: DecodingError) -> None:
         """Log an entry that turned unreadable once, not at each rewrite."""
--- a/src/kumquatseam/prompts/__init__.py
+++ b/src/kumquatseam/prompts/__init__.py
@@ -3,12 +3,12 @@
 - :class:`PromptChain` is a prompt as nested parts.
 - :class:`PromptIndex` knows who holds which parts; :class:`PromptHolders` is its
   answer for one prompt, and :class:`PartHolders` the interface of such answers.
-- :class:`PromptRead`, :class:`HeldPart` and :class:`HolderUpdate` are what is
+- :class:`PromptPrefill`, :class:`HeldPart` and :class:`HolderUpdate` are what is
   told of them.
 """
 
 from kumquatseam.prompts._chain import PromptChain, PromptPart
-from kumquatseam.prompts._held import HeldPart, HolderUpdate, PromptRead
+from kumquatseam.prompts._held import HeldPart, HolderUpdate, PromptPrefill
 from kumquatseam.prompts._index import PartHolders, PromptHolders, PromptIndex
 
 __all__ = [
@@ -19,5 +19,5 @@
     "PromptHolders",
     "PromptIndex",
     "PromptPart",
-    "PromptRead",
+    "PromptPrefill",
 ]
--- a/src/kumquatseam/prompts/_held.py
+++ b/src/kumquatseam/prompts/_held.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class PromptRead:
+class PromptPrefill:
     """Prompt parts that an engine was just given to read.
 
     :param incarnation_id: the incarnation of an engine.
--- a/src/kumquatseam/prompts/_index.py
+++ b/src/kumquatseam/prompts/_index.py
@@ -14,7 +14,7 @@
 import attrs
 
 from kumquatseam.prompts._chain import PromptChain, PromptPart
-from kumquatseam.prompts._held import HeldPart, PromptRead
+from kumquatseam.prompts._held import HeldPart, PromptPrefill
 
 #: prompts remembered for being told to peers; a summary goes out long before.
 MAX_FRESH = 1024
@@ -63,7 +63,7 @@
         """Return how many leading tokens can be fetched from a holder."""
 
     @abc.abstractmethod
-    def known_tokens(self) -> int:
+    def held_anywhere_tokens(self) -> int:
         """Return how many leading tokens anyone has or is reading."""
 
     @abc.abstractmethod
@@ -90,7 +90,7 @@
     def settled_tokens(self, holder: str) -> int:
         return self._leading(holder, self._now_s - SETTLE_S)
 
-    def known_tokens(self) -> int:
+    def held_anywhere_tokens(self) -> int:
         total = 0
         for tokens, holders in self._levels:
             if not holders:
@@ -140,7 +140,9 @@
         self._by_holder: dict[str, _Holder] = {}
         self._engine_capacity_tokens = DEFAULT_CAPACITY_TOKENS
         self._capacities: dict[str, int] = {}
-        self._fresh: collections.deque[PromptRead] = collections.deque(maxlen=MAX_FRESH)
+        self._fresh: collections.deque[PromptPrefill] = collections.deque(
+            maxlen=MAX_FRESH
+        )
 
     @property
     def engine_capacity_tokens(self) -> int:
@@ -168,23 +170,23 @@
 
         :param kept_at: address of the store it sends them to, if it does.
         """
-        read = PromptRead(incarnation_id, salt, chain.shared, kept_at)
+        read = PromptPrefill(incarnation_id, salt, chain.shared, kept_at)
         held = self.look_up(salt, chain).held_tokens(incarnation_id)
         if kept_at or held + BLOCK_TOKENS <= chain.shared_tokens:
             self._fresh.append(read)
-        self.note_peer_read(read)
+        self.note_peer_prefill(read)
 
-    def take_fresh(self, limit: int) -> list[PromptRead]:
+    def take_fresh(self, limit: int) -> list[PromptPrefill]:
         """Return up to ``limit`` reads that peers were not yet told of."""
         count = min(limit, len(self._fresh))
         return [self._fresh.popleft() for _ in range(count)]
 
-    def note_peer_read(self, read: PromptRead) -> None:
+    def note_peer_prefill(self, read: PromptPrefill) -> None:
         """Note what an engine reads, as a peer says."""
         for holder in filter(None, (read.incarnation_id, read.kept_at)):
             self._note(holder, read.salt, read.parts)
 
-    def note_said(
+    def apply_holder_report(
         self, holder: str, parts: Iterable[HeldPart], is_whole: bool = False
     ) -> None:
         """Take in what a holder says that it keeps.
@@ -210,7 +212,7 @@
                 self._remove(known, holder, key)
         self._trim(known, holder)
 
-    def said_parts(self, holder: str) -> tuple[HeldPart, ...]:
+    def held_parts(self, holder: str) -> tuple[HeldPart, ...]:
         """Return what a holder is believed to keep."""
         known = self._by_holder.get(holder)
         if known is None:
--- a/src/kumquatseam/rollouts/_duty.py
+++ b/src/kumquatseam/rollouts/_duty.py
@@ -25,8 +25,8 @@
     UNKNOWN_AGE_S,
     UpstreamDirectory,
     UpstreamStatus,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 _log = part_logger("rollout")
@@ -120,7 +120,7 @@
         for weights in self._targets.all():
             self._step_model(weights)
 
-    def _step_model(self, weights: WeightsNamed) -> None:
+    def _step_model(self, weights: WeightsVersion) -> None:
         statuses = self._engines_of(weights.model)
         self.orders.drop_done(weights, statuses)
         self._update_backoff(weights, statuses)
@@ -159,7 +159,7 @@
         ]
 
     def _update_backoff(
-        self, weights: WeightsNamed, statuses: list[UpstreamStatus]
+        self, weights: WeightsVersion, statuses: list[UpstreamStatus]
     ) -> None:
         """Update the backoff from the engines that loaded or ended."""
         backoff = self._backoff
@@ -179,7 +179,7 @@
                 ).warning("Engine ended after it was ordered to load.")
 
     def _running(
-        self, weights: WeightsNamed, statuses: list[UpstreamStatus]
+        self, weights: WeightsVersion, statuses: list[UpstreamStatus]
     ) -> Mapping[str, int]:
         """Return the number of requests on each engine that still has to load."""
         waiting = [
@@ -191,7 +191,7 @@
 
     def _state(
         self,
-        weights: WeightsNamed,
+        weights: WeightsVersion,
         status: UpstreamStatus,
         running: Mapping[str, int],
     ) -> EngineState:
@@ -218,7 +218,7 @@
 
     def _broadcast_notice(
         self,
-        weights: WeightsNamed,
+        weights: WeightsVersion,
         states: Sequence[EngineState],
         plan: LoadPlan,
         modes: Mapping[str, LoadMode],
@@ -271,7 +271,7 @@
         )
 
     def _send_order(
-        self, weights: WeightsNamed, status: UpstreamStatus | None, mode: LoadMode
+        self, weights: WeightsVersion, status: UpstreamStatus | None, mode: LoadMode
     ) -> None:
         """Send an order without waiting for the answer."""
         fence = self._lease.fence
--- a/src/kumquatseam/rollouts/_load_backoff.py
+++ b/src/kumquatseam/rollouts/_load_backoff.py
@@ -15,7 +15,7 @@
 import attrs
 
 from kumquatseam.rollouts._orders import OrderOutcome
-from kumquatseam.upstreams import WeightsNamed
+from kumquatseam.upstreams import WeightsVersion
 
 #: backoff after the second failed attempt. There is none after the first one, since
 #: the first wave of engines may have ended for another reason.
@@ -99,14 +99,14 @@
             collections.defaultdict(collections.deque)
         )
 
-    def loading_limit(self, weights: WeightsNamed) -> int | None:
+    def loading_limit(self, weights: WeightsVersion) -> int | None:
         """Return how many engines may load now; ``None`` for no limit."""
         history = self._history(weights)
         if history.has_loaded or not history.failed_tries:
             return None
         return 1 if self._clock() >= history.next_s else 0
 
-    def failed_tries(self, weights: WeightsNamed) -> int:
+    def failed_tries(self, weights: WeightsVersion) -> int:
         """Return how many attempts failed because of the weights, as far as known."""
         history = self._history(weights)
         return 0 if history.has_loaded else history.failed_tries
@@ -118,7 +118,7 @@
             history.is_restored = False
             history.pending.clear()
 
-    def restore_failures(self, weights: WeightsNamed, failed_tries: int) -> None:
+    def restore_failures(self, weights: WeightsVersion, failed_tries: int) -> None:
         """Set the number of failures under earlier holders, after a takeover.
 
         How much of the backoff has passed is not known. One attempt too many costs
@@ -132,7 +132,7 @@
         history.attempts = max(history.attempts, failed_tries)
         history.next_s = self._clock() + (FIRST_BACKOFF_S if failed_tries > 1 else 0.0)
 
-    def note_ordered(self, weights: WeightsNamed, incarnation_id: str) -> None:
+    def note_ordered(self, weights: WeightsVersion, incarnation_id: str) -> None:
         """Note that an engine is ordered, perhaps repeatedly, to load weights."""
         history = self._history(weights)
         now_s = self._clock()
@@ -142,7 +142,7 @@
         order.ordered_s = now_s
 
     def note_outcome(
-        self, weights: WeightsNamed, incarnation_id: str, outcome: OrderOutcome
+        self, weights: WeightsVersion, incarnation_id: str, outcome: OrderOutcome
     ) -> None:
         """Note the outcome of sending an order."""
         history = self._histories.get(weights.model)
@@ -156,13 +156,15 @@
         elif outcome in _NEVER_EXECUTED and not order.is_accepted:
             del history.pending[incarnation_id]
 
-    def note_loaded(self, weights: WeightsNamed) -> None:
+    def note_loaded(self, weights: WeightsVersion) -> None:
         """Note that some engine runs the weights."""
         history = self._history(weights)
         history.has_loaded = True
         history.pending.clear()
 
-    def update_listed(self, weights: WeightsNamed, listed: Iterable[str]) -> list[str]:
+    def update_listed(
+        self, weights: WeightsVersion, listed: Iterable[str]
+    ) -> list[str]:
         """Return the engines of the model that were removed since the last call.
 
         :param listed: the engines that are listed now.
@@ -171,7 +173,7 @@
         now = self._listed[weights.model] = frozenset(listed)
         return sorted(before - now)
 
-    def note_ended(self, weights: WeightsNamed, incarnation_id: str) -> bool:
+    def note_ended(self, weights: WeightsVersion, incarnation_id: str) -> bool:
         """Note that an engine ended; return whether it was ordered to load."""
         history = self._history(weights)
         order = history.pending.pop(incarnation_id, None)
@@ -186,11 +188,11 @@
         self._retract_explained(weights.model, history)
         return was_loading
 
-    def forget(self, weights: WeightsNamed, incarnation_id: str) -> None:
+    def forget(self, weights: WeightsVersion, incarnation_id: str) -> None:
         """Ignore the coming end of an engine that leaves as planned."""
         self._history(weights).pending.pop(incarnation_id, None)
 
-    def _history(self, weights: WeightsNamed) -> _LoadHistory:
+    def _history(self, weights: WeightsVersion) -> _LoadHistory:
         history = self._histories.get(weights.model)
         if history is None or history.version != weights.version:
             history = self._histories[weights.model] = _LoadHistory(weights.version)
--- a/src/kumquatseam/rollouts/_orders.py
+++ b/src/kumquatseam/rollouts/_orders.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from kumquatseam.upstreams import Upstream, WeightsNamed
+from kumquatseam.upstreams import Upstream, WeightsVersion
 
 
 class LoadMode(enum.Enum):
@@ -29,7 +29,7 @@
     :param mode: what happens to its runs.
     """
 
-    weights: WeightsNamed
+    weights: WeightsVersion
     holder: str
     fence: int
     expected_orders: int
@@ -65,7 +65,7 @@
         :class:`~kumquatseam.upstreams.Upstream`.
     """
 
-    weights: tuple[WeightsNamed, ...]
+    weights: tuple[WeightsVersion, ...]
     is_busy: bool
     orders_accepted: int
     waiting: int
--- a/src/kumquatseam/rollouts/_pending_orders.py
+++ b/src/kumquatseam/rollouts/_pending_orders.py
@@ -15,7 +15,7 @@
     OrderOutcome,
     WeightsOrder,
 )
-from kumquatseam.upstreams import UpstreamDirectory, UpstreamStatus, WeightsNamed
+from kumquatseam.upstreams import UpstreamDirectory, UpstreamStatus, WeightsVersion
 
 _log = part_logger("rollout")
 
@@ -56,7 +56,7 @@
     :param last_report: the engine's last report, to log changes only.
     """
 
-    weights: WeightsNamed
+    weights: WeightsVersion
     mode: LoadMode
     sent_s: float
     is_repeat: bool = False
@@ -79,7 +79,7 @@
         engine that does not report may have counted one that was lost or sent twice.
     """
 
-    weights: WeightsNamed
+    weights: WeightsVersion
     consecutive: int = 0
     until_s: float = 0.0
     uncounted_orders: int = 0
@@ -103,7 +103,7 @@
         client: OrderClient,
         directory: UpstreamDirectory,
         on_fenced: Callable[[], None],
-        on_outcome: Callable[[WeightsNamed, str, OrderOutcome], None],
+        on_outcome: Callable[[WeightsVersion, str, OrderOutcome], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._client = client
@@ -145,7 +145,7 @@
         return pending is not None and pending.mode is LoadMode.IN_PLACE
 
     def mode_of(
-        self, weights: WeightsNamed, incarnation_id: str, is_in_place: bool
+        self, weights: WeightsVersion, incarnation_id: str, is_in_place: bool
     ) -> LoadMode:
         """Return the mode of the next order to an engine.
 
@@ -160,13 +160,13 @@
         return LoadMode.IN_PLACE if is_in_place else LoadMode.DRAIN_FIRST
 
     def _last_ineffective(
-        self, incarnation_id: str, weights: WeightsNamed
+        self, incarnation_id: str, weights: WeightsVersion
     ) -> _PendingOrder | None:
         """Return the engine's last order without effect if it was for these weights."""
         last = self._ineffective.get(incarnation_id)
         return last if last is not None and last.weights == weights else None
 
-    def may_send(self, weights: WeightsNamed, incarnation_id: str) -> bool:
+    def may_send(self, weights: WeightsVersion, incarnation_id: str) -> bool:
         """Return whether no backoff after a refusal of these weights is in effect."""
         refusal = self._refusals.get((incarnation_id, weights.model))
         if refusal is None or refusal.weights != weights:
@@ -183,14 +183,14 @@
         known_s = sorted([*self._durations_s, *pending_s])
         return known_s[int(len(known_s) * DURATION_QUANTILE)] if known_s else 0.0
 
-    def expected_orders(self, weights: WeightsNamed, status: UpstreamStatus) -> int:
+    def expected_orders(self, weights: WeightsVersion, status: UpstreamStatus) -> int:
         """Return how many orders an engine is assumed to have accepted."""
         known = status.orders_accepted or 0
         refusal = self._refusals.get((status.upstream.incarnation_id, weights.model))
         return known + (refusal.uncounted_orders if refusal is not None else 0)
 
     def drop_done(
-        self, weights: WeightsNamed, statuses: Sequence[UpstreamStatus]
+        self, weights: WeightsVersion, statuses: Sequence[UpstreamStatus]
     ) -> None:
         """Stop tracking orders that took effect, timed out or lost their engine."""
         now_s = self._clock()
@@ -226,7 +226,7 @@
                 del self._refusals[incarnation_id, model]
 
     def poll_due(
-        self, weights: WeightsNamed, statuses: Sequence[UpstreamStatus]
+        self, weights: WeightsVersion, statuses: Sequence[UpstreamStatus]
     ) -> None:
         """Poll the engines of a model for the progress of their orders, where due."""
         now_s = self._clock()
@@ -264,7 +264,7 @@
         if report is None or report.born_ms < status.upstream.born_ms:
             return None
         if report.born_ms > status.upstream.born_ms:
-            status = self._directory.note_started(status, report.born_ms)
+            status = self._directory.note_restart(status, report.born_ms)
         if report.is_busy:
             # Its weights are about to change, so only the count is recorded.
             now_s = self._clock()
@@ -324,19 +324,19 @@
         if outcome is OrderOutcome.ACCEPTED:
             pending.is_accepted = True
             counted = 0 if pending.is_repeat else 1
-            status.note_orders(order.expected_orders + counted, self._clock())
+            status.note_inferred_orders(order.expected_orders + counted, self._clock())
             return
         pending.timeout_s = UNANSWERED_TIMEOUT_S
         if outcome is OrderOutcome.ALREADY_HOLDS:
             weights = order.weights
-            status.note_answered(weights.model, weights.version, self._clock())
+            status.record_version(weights.model, weights.version, self._clock())
         elif outcome is OrderOutcome.BUSY:
             self._handle_busy(order, status, pending)
         elif outcome is OrderOutcome.FENCED:
             self._on_fenced()
         elif outcome in (OrderOutcome.UNREACHED, OrderOutcome.OTHER_INCARNATION):
             pending.timeout_s = 0.0
-            self._directory.note_broken(status, f"order {outcome.value}")
+            self._directory.note_connection_failure(status, f"order {outcome.value}")
         elif outcome is not OrderOutcome.UNANSWERED:
             self._back_off(self._note_refusal(order, status), status, pending)
 
@@ -408,7 +408,7 @@
     ).debug("Engine reported.")
 
 
-def has_weights(status: UpstreamStatus, weights: WeightsNamed) -> bool:
+def has_weights(status: UpstreamStatus, weights: WeightsVersion) -> bool:
     """Return whether an engine is known to run some weights, or newer ones."""
     known = status.version_of(weights.model)
     return known is not None and known >= weights.version
--- a/src/kumquatseam/rollouts/_view.py
+++ b/src/kumquatseam/rollouts/_view.py
@@ -10,8 +10,8 @@
 from kumquatseam.upstreams import (
     UNKNOWN_AGE_S,
     UpstreamDirectory,
-    WeightsNamed,
     WeightsTargets,
+    WeightsVersion,
 )
 
 _log = part_logger("rollout")
@@ -49,8 +49,8 @@
             return False
         self._newest_number = number
         age_s = UNKNOWN_AGE_S if notice.named_age_s is None else notice.named_age_s
-        weights = WeightsNamed(notice.model, notice.version)
-        self._targets.hear(weights, age_s, notice.replaced)
+        weights = WeightsVersion(notice.model, notice.version)
+        self._targets.add_from_peer(weights, age_s, notice.replaced)
         progress = attrs.evolve(notice, named_age_s=None, sequence=0, orders=())
         if progress != self._last_progress.get(notice.model):
             self._last_progress[notice.model] = progress
@@ -68,14 +68,14 @@
         for incarnation_id in notice.ready:
             status = self._directory.status(incarnation_id)
             if status is not None:
-                status.hear_version(notice.model, notice.version, self._clock())
+                status.record_peer_version(notice.model, notice.version, self._clock())
         for count in notice.orders:
             status = self._directory.status(count.incarnation_id)
             if status is not None:
-                status.note_orders(count.accepted, self._clock())
+                status.note_inferred_orders(count.accepted, self._clock())
         return True
 
-    def failed_tries(self, weights: WeightsNamed) -> int:
+    def failed_tries(self, weights: WeightsVersion) -> int:
         """Return how many attempts to load weights failed, by the last notice."""
         last = self._last_progress.get(weights.model)
         if last is None or last.version != weights.version:
--- a/src/kumquatseam/trackers/__init__.py
+++ b/src/kumquatseam/trackers/__init__.py
@@ -25,11 +25,11 @@
     WorkRead,
 )
 from kumquatseam.trackers._tracker import LoadTracker
-from kumquatseam.trackers._work import FleetWork, TrackedWork
+from kumquatseam.trackers._work import FleetSizeSwitch, TrackedWork
 
 __all__ = [
     "TRACKER_KINDS",
-    "FleetWork",
+    "FleetSizeSwitch",
     "LoadAnswer",
     "LoadQuestion",
     "LoadTracker",
--- a/src/kumquatseam/trackers/_tracker.py
+++ b/src/kumquatseam/trackers/_tracker.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable, Mapping
 
-from kumquatseam.prompts import PromptIndex, PromptRead
+from kumquatseam.prompts import PromptIndex, PromptPrefill
 from kumquatseam.trackers._book import WorkBook
 from kumquatseam.trackers._messages import (
     LoadAnswer,
@@ -76,12 +76,14 @@
         self._tracked_s[work.holder] = self._clock()
         self._book.begin(work)
         if work.parts:
-            read = PromptRead(work.holder, work.salt, work.parts)
-            self._index.note_peer_read(read)
+            read = PromptPrefill(work.holder, work.salt, work.parts)
+            self._index.note_peer_prefill(read)
 
     def _take_given(self, given: PartsGiven) -> None:
         self._tracked_s[given.holder] = self._clock()
-        self._index.note_peer_read(PromptRead(given.holder, given.salt, given.parts))
+        self._index.note_peer_prefill(
+            PromptPrefill(given.holder, given.salt, given.parts)
+        )
 
     def _load(self, holder: str, salt: str, question: LoadQuestion) -> TrackedLoad:
         self._tracked_s[holder] = self._clock()
--- a/src/kumquatseam/trackers/_work.py
+++ b/src/kumquatseam/trackers/_work.py
@@ -26,7 +26,7 @@
     WorkRead,
 )
 from kumquatseam.upstreams import (
-    Occupancy,
+    InFlightRequest,
     OccupancyListener,
     UpstreamDirectory,
     UpstreamStatus,
@@ -113,7 +113,7 @@
         self._forget_gone()
         return {i: self._running[i][1] for i in incarnation_ids if i in self._running}
 
-    def begin(self, work: RequestWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> InFlightRequest:
         holder = work.status.upstream.incarnation_id
         record = self._client.tracker_of(holder)
         if record is None:
@@ -208,14 +208,14 @@
         load = self._loads.get(holder)
         return load.settled_tokens if load is not None else 0
 
-    def known_tokens(self) -> int:
+    def held_anywhere_tokens(self) -> int:
         return max((load.held_tokens for load in self._loads.values()), default=0)
 
     def holders(self) -> set[str]:
         return {holder for holder, load in self._loads.items() if load.held_tokens}
 
 
-class FleetWork(WorkSource):
+class FleetSizeSwitch(WorkSource):
     """Chooses between two sources by the size of the fleet.
 
     :param is_small: whether everyone is told everything.
@@ -247,5 +247,5 @@
     ) -> Mapping[str, int]:
         return self._current.running_on(incarnation_ids, max_age_s)
 
-    def begin(self, work: RequestWork) -> Occupancy:
+    def begin(self, work: RequestWork) -> InFlightRequest:
         return self._current.begin(work)
--- a/src/kumquatseam/upstreams/__init__.py
+++ b/src/kumquatseam/upstreams/__init__.py
@@ -8,20 +8,20 @@
 
 from kumquatseam.upstreams._directory import UpstreamDirectory
 from kumquatseam.upstreams._status import (
-    Occupancy,
+    InFlightRequest,
     OccupancyListener,
     UpstreamStatus,
 )
 from kumquatseam.upstreams._targets import UNKNOWN_AGE_S, WeightsTargets
-from kumquatseam.upstreams._upstream import Upstream, WeightsNamed
+from kumquatseam.upstreams._upstream import Upstream, WeightsVersion
 
 __all__ = [
     "UNKNOWN_AGE_S",
-    "Occupancy",
+    "InFlightRequest",
     "OccupancyListener",
     "Upstream",
     "UpstreamDirectory",
     "UpstreamStatus",
-    "WeightsNamed",
+    "WeightsVersion",
     "WeightsTargets",
 ]
--- a/src/kumquatseam/upstreams/_directory.py
+++ b/src/kumquatseam/upstreams/_directory.py
@@ -8,7 +8,7 @@
 from kumquatseam.logs import part_logger
 from kumquatseam.upstreams._status import (
     UNCHANGED_ENTRY_LAG_S,
-    Occupancy,
+    InFlightRequest,
     OccupancyListener,
     UpstreamStatus,
 )
@@ -52,7 +52,7 @@
         self._by_id: dict[str, UpstreamStatus] = {}
         self._by_incarnation: dict[str, UpstreamStatus] = {}
         self._on_gone: list[Callable[[Upstream], None]] = []
-        self.listed_s: float | None = None
+        self.list_confirmed_s: float | None = None
         #: counts requests sent; tells whether own loads grew.
         self.changes = 0
 
@@ -93,7 +93,7 @@
         known.note_entry(upstream, self._clock())
         return is_news
 
-    def note_started(self, status: UpstreamStatus, born_ms: int) -> UpstreamStatus:
+    def note_restart(self, status: UpstreamStatus, born_ms: int) -> UpstreamStatus:
         """Take in when an upstream says that it started.
 
         It may say so itself before its entry does: one that starts again behind
@@ -130,7 +130,7 @@
         known.lapses_s = self._clock() + LAPSE_GRACE_S - outage_age_s
         return True
 
-    def close_unreadable(self, upstream_id: str) -> bool:
+    def mark_unreadable(self, upstream_id: str) -> bool:
         """Give an upstream no new work: its entry cannot be understood any more.
 
         Whoever wrote that, the entry names no upstream to use. What is known of
@@ -147,10 +147,10 @@
         known.upstream = attrs.evolve(known.upstream, is_leaving=True)
         return True
 
-    def note_listed(self) -> None:
+    def confirm_entries(self) -> None:
         """Note that every entry was up to date a moment ago."""
         now_s = self._clock()
-        self.listed_s = now_s
+        self.list_confirmed_s = now_s
         for status in self._by_id.values():
             status.note_entry(status.upstream, now_s, UNCHANGED_ENTRY_LAG_S)
 
@@ -181,14 +181,14 @@
         status: UpstreamStatus,
         pending_tokens: int,
         listener: OccupancyListener | None = None,
-    ) -> Occupancy:
+    ) -> InFlightRequest:
         """Count a request that is about to be sent.
 
         :param pending_tokens: prompt tokens the upstream has to read for it.
         :param listener: is told how it goes on.
         """
         self.changes += 1
-        return Occupancy(status, pending_tokens, self._clock, listener)
+        return InFlightRequest(status, pending_tokens, self._clock, listener)
 
     def note_answer(self, status: UpstreamStatus, is_failure: bool) -> None:
         """Learn from an answer that came."""
@@ -204,7 +204,7 @@
         doubled_s = HOLD_OUT_S * 2 ** (status.failures_in_row - 1)
         self._hold_out(status, min(doubled_s, MAX_HOLD_OUT_S), reason)
 
-    def note_replaced(self, status: UpstreamStatus, answering_id: str) -> None:
+    def note_address_reused(self, status: UpstreamStatus, answering_id: str) -> None:
         """Note that another upstream answers at this one's address.
 
         Its entry may still be listed, or be written once more by a heartbeat
--- a/src/kumquatseam/upstreams/_status.py
+++ b/src/kumquatseam/upstreams/_status.py
@@ -63,7 +63,7 @@
         self._versions[model] = version
         self._known_s[model] = now_s
 
-    def hear_version(self, model: str, version: int, now_s: float) -> None:
+    def record_peer_version(self, model: str, version: int, now_s: float) -> None:
         """Take in what an instance tells of its weights, if that is news.
 
         What is known already is not made younger: told again and again, it would
@@ -105,7 +105,7 @@
         self._orders_known_s = now_s
         return True
 
-    def note_orders(self, accepted: int, now_s: float) -> None:
+    def note_inferred_orders(self, accepted: int, now_s: float) -> None:
         """Take in how many orders it must have accepted, until it reports itself.
 
         Concluded from an answer to an order, or told by an instance.
@@ -146,7 +146,7 @@
         """Note that the request is no longer on the upstream."""
 
 
-class Occupancy:
+class InFlightRequest:
     """A request's place on an upstream, until :meth:`end`.
 
     :param status: the upstream.
--- a/src/kumquatseam/upstreams/_targets.py
+++ b/src/kumquatseam/upstreams/_targets.py
@@ -6,7 +6,7 @@
 
 from kumquatseam.clocks import elapsed_s
 from kumquatseam.logs import part_logger
-from kumquatseam.upstreams._upstream import WeightsNamed
+from kumquatseam.upstreams._upstream import WeightsVersion
 
 _log = part_logger("rollout")
 
@@ -62,7 +62,7 @@
         """Call ``listener`` whenever new weights are named."""
         self._listeners.append(listener)
 
-    def take(self, named: WeightsNamed, unseen_s: float = 0.0) -> None:
+    def take(self, named: WeightsVersion, unseen_s: float = 0.0) -> None:
         """Take in weights that were named just now.
 
         :param unseen_s: they may have been named this long ago without being
@@ -72,14 +72,14 @@
         naming = _Naming(named.version, now_s, now_s, now_s - unseen_s)
         self._add(named.model, naming, "store")
 
-    def take_known(self, named: WeightsNamed) -> None:
+    def add_with_unknown_age(self, named: WeightsVersion) -> None:
         """Take in weights that were named at an unknown time before."""
         now_s = self._clock()
         naming = _Naming(named.version, now_s, None, now_s)
         self._add(named.model, naming, "store, read whole")
 
     def hear(
-        self, named: WeightsNamed, age_s: float, replaced: int | None = None
+        self, named: WeightsVersion, age_s: float, replaced: int | None = None
     ) -> None:
         """Take in what a peer knows of a naming.
 
@@ -96,10 +96,10 @@
             return
         self._add(named.model, naming, "peer")
 
-    def all(self) -> list[WeightsNamed]:
+    def all(self) -> list[WeightsVersion]:
         """Return the newest weights of each model."""
         return [
-            WeightsNamed(model, namings[-1].version)
+            WeightsVersion(model, namings[-1].version)
             for model, namings in self._named.items()
         ]
 
@@ -108,7 +108,7 @@
         newest = self._newest(model)
         return self._age_s(newest) if newest is not None else 0.0
 
-    def learnt_age_s(self, model: str) -> float:
+    def known_for_s(self, model: str) -> float:
         """Return how long this process has known the newest version."""
         newest = self._newest(model)
         return self._clock() - newest.learnt_s if newest is not None else 0.0
--- a/src/kumquatseam/upstreams/_upstream.py
+++ b/src/kumquatseam/upstreams/_upstream.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class WeightsNamed:
+class WeightsVersion:
     """The weights of a model that are to be in force.
 
     :param model: the model.
@@ -41,7 +41,7 @@
     availability_zone: str = ""
     slots: int = 1
     is_leaving: bool = False
-    weights: tuple[WeightsNamed, ...] = ()
+    weights: tuple[WeightsVersion, ...] = ()
     cold_left_s: float = 0.0
     born_ms: int = 0
     #: names this incarnation, in this process and among instances.
