--- a/features/steps/cache_feeds_steps.py
+++ b/features/steps/cache_feeds_steps.py
@@ -204,7 +204,7 @@
     def tell(self, sender, update):
         for other in self.instances:
             if other is not sender and not other.is_down:
-                other.feeds.take_update(update)
+                other.feeds.apply_update(update)
 
     def run(self, seconds):
         end_s = self.clock.now_s + seconds
--- a/features/steps/feeds_steps.py
+++ b/features/steps/feeds_steps.py
@@ -107,7 +107,7 @@
     def _ask(self, known_offset):
         for other in self.world.instances:
             if other is not self and not (other.is_cut or other.is_frozen):
-                batch = other.watch.copy.whole()
+                batch = other.watch.copy.snapshot()
                 if batch is not None and batch.next_offset > known_offset:
                     return batch, other.watch.copy.age_s()
         return None
@@ -153,7 +153,7 @@
             if other is self.lose_next_to:
                 self.lose_next_to = None
                 continue
-            other.watch.take_update(CODEC.decode(data))
+            other.watch.apply_update(CODEC.decode(data))
 
     def write(self, size=20, end=b""):
         self.written += 1
@@ -301,20 +301,20 @@
 
 def _copy(next_offset):
     copy = TopicCopy(Values())
-    copy.take(KeyedBatch(0, next_offset, (_change(0),), is_whole=True))
+    copy.apply(KeyedBatch(0, next_offset, (_change(0),), is_whole=True))
     return copy
 
 
 @given("a copy that took a change from another reader's update")
 def step_copy(context):
     context.copy = _copy(5)
-    context.copy.take(KeyedBatch(5, 6, (_change(5),)))
+    context.copy.apply(KeyedBatch(5, 6, (_change(5),)))
 
 
 @when("its own next read begins before that change")
 def step_own_read(context):
     known = context.copy.next_offset
-    news = context.copy.take(KeyedBatch(5, 7, (_change(5), _change(6, b"w"))))
+    news = context.copy.apply(KeyedBatch(5, 7, (_change(5), _change(6, b"w"))))
     assert [change.offset for change in news] == [6]
     context.update = KeyedBatch(known, context.copy.next_offset, news)
 
@@ -341,7 +341,7 @@
     log = [KeyedChange(0, "a", b"0")]
     copies = [TopicCopy(Values()) for _ in range(3)]
     for copy in copies:
-        copy.take(KeyedBatch(0, 1, tuple(log), is_whole=True))
+        copy.apply(KeyedBatch(0, 1, tuple(log), is_whole=True))
     on_the_way = []
     for _ in range(60):
         if draw.random() < 0.5:
@@ -368,7 +368,7 @@
 
 def _check_against(log, copy):
     expected = {change.key: change.value for change in log[: copy.next_offset]}
-    found = {change.key: change.value for change in copy.whole().changes}
+    found = {change.key: change.value for change in copy.snapshot().changes}
     assert found == expected, (found, expected)
 
 
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -269,7 +269,7 @@
         self.log.append_keyed(self.topic, key, value)
 
     def read(self):
-        self.copy.take(self.reader.read(self.copy.next_offset))
+        self.copy.apply(self.reader.read(self.copy.next_offset))
 
 
 def _configuration(version):
@@ -297,7 +297,7 @@
 @then("configuration 7 stays in force, and others are told configuration 7")
 def step_stays(context):
     assert context.live.current.version == 7
-    (change,) = context.side.copy.whole().changes
+    (change,) = context.side.copy.snapshot().changes
     assert change.value == _configuration(7), change
 
 
@@ -310,7 +310,7 @@
 @then("configuration 9 is in force")
 def step_nine(context):
     assert context.live.current.version == 9
-    (change,) = context.side.copy.whole().changes
+    (change,) = context.side.copy.snapshot().changes
     assert change.value == _configuration(9), change
 
 
@@ -394,7 +394,7 @@
     context.registry.start()
     gevent.sleep(0.01)
     side.read()
-    assert side.copy.whole().changes
+    assert side.copy.snapshot().changes
 
 
 @then("its record is in the log again")
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -12,7 +12,7 @@
 
 from kumquatseam.bench import free_port
 from kumquatseam.codec import MessageCodec
-from kumquatseam.feeds import QUESTION_KINDS, ReadPace, TopicFeeds, TopicUpdate
+from kumquatseam.feeds import QUERY_KINDS, ReadPace, TopicFeeds, TopicUpdate
 from kumquatseam.logservice import KeyedBatch, KeyedChange, KeyedListener
 from kumquatseam.peers import (
     MESSAGE_KINDS,
@@ -281,18 +281,18 @@
     step_fleet(context, count, upstreams=1)
     pace = ReadPace(0.0, 1.0, 5.0)
     for side in context.fleet_model.alive():
-        questions = Questions(side.bus, QUESTION_KINDS)
+        questions = Questions(side.bus, QUERY_KINDS)
         side.feeds = TopicFeeds(None, side.bus, side.bus.record, questions)
         side.topic = OneTopic()
         watch = side.feeds.follow("keyed.t", side.topic, pace)
-        watch.copy.take(KeyedBatch(0, 5, is_whole=True))
+        watch.copy.apply(KeyedBatch(0, 5, is_whole=True))
 
 
 @when("an instance that may read it tells what it read")
 def step_tells_read(context):
     side = _council_member(context.fleet_model)
     batch = KeyedBatch(5, 6, (KeyedChange(5, "k", b"new"),))
-    side.feeds.watches[0].copy.take(batch)
+    side.feeds.followers[0].copy.apply(batch)
     side.bus.publish(TopicUpdate(side.bus.name, "keyed.t", batch))
 
 
--- a/features/steps/quarantine_fleet.py
+++ b/features/steps/quarantine_fleet.py
@@ -121,7 +121,7 @@
         If the log service is unreachable, the list is copied from peers.
         """
         try:
-            self.copy.take(self.reader.read(self.copy.next_offset))
+            self.copy.apply(self.reader.read(self.copy.next_offset))
         except LogServiceError:
             self._sync_from_peers()
 
@@ -133,10 +133,10 @@
         ]
         asked = self.fleet.rng.sample(others, min(MAX_SYNC_PEERS, len(others)))
         known = [
-            instance.copy.whole() for instance in asked if instance.copy.next_offset
+            instance.copy.snapshot() for instance in asked if instance.copy.next_offset
         ]
         if known:
-            self.copy.take(max(known, key=lambda batch: batch.next_offset))
+            self.copy.apply(max(known, key=lambda batch: batch.next_offset))
 
     def _call_later(self, delay_s, function, *arguments):
         guarded = self.fleet.if_running(self, function)
--- a/features/steps/starts_steps.py
+++ b/features/steps/starts_steps.py
@@ -106,7 +106,7 @@
 @then("each looks again within {most_s:g} seconds whether to read")
 def step_looks_soon(context, most_s):
     for instance in context.world.instances:
-        assert instance.watch._next_check_s() <= most_s, instance.name
+        assert instance.watch._next_check_in_s() <= most_s, instance.name
 
 
 @then("those outside the council look again when their copies grow old")
@@ -115,7 +115,7 @@
     assert others
     for instance in others:
         left_s = 1.1 - instance.watch.copy.age_s()
-        assert abs(instance.watch._next_check_s() - left_s) < 0.01, instance.name
+        assert abs(instance.watch._next_check_in_s() - left_s) < 0.01, instance.name
 
 
 # The duty.
--- a/features/steps/weights_begun_late_steps.py
+++ b/features/steps/weights_begun_late_steps.py
@@ -63,7 +63,7 @@
 def _deliver_update(context, *changes):
     known = context.watch.copy.next_offset
     batch = KeyedBatch(known, known + len(changes), changes)
-    context.feeds.take_update(TopicUpdate("i1", TOPIC, batch))
+    context.feeds.apply_update(TopicUpdate("i1", TOPIC, batch))
 
 
 def _name_weights(context, version):
@@ -139,11 +139,11 @@
     )
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
-    context.watch.copy.take(KeyedBatch(0, 5, (_weights_change(4, 1),), is_whole=True))
+    context.watch.copy.apply(KeyedBatch(0, 5, (_weights_change(4, 1),), is_whole=True))
     # Weights 1 were named long ago.
     for _ in range(50):
         clock.sleep(RUNNING_INTERVAL_S)
-        context.feeds.standstills.note_running()
+        context.feeds.process_pauses.note_running()
         _deliver_update(context)
 
 
@@ -156,7 +156,7 @@
 def step_no_update(context, for_s):
     for _ in range(round(for_s / RUNNING_INTERVAL_S)):
         context.clock.sleep(RUNNING_INTERVAL_S)
-        context.feeds.standstills.note_running()
+        context.feeds.process_pauses.note_running()
 
 
 @when("an update without changes arrives")
@@ -175,7 +175,7 @@
     batch = KeyedBatch(
         0, offset + 1, (_weights_change(offset, version),), is_whole=True
     )
-    context.watch.copy.take(batch)
+    context.watch.copy.apply(batch)
 
 
 @then("it reports to others that weights 2 were named {age_s:g} seconds ago")
@@ -197,7 +197,7 @@
 def step_copy_now(context):
     listener = OperatorListener(LiveRouteTable(), WeightsTargets())
     context.copy = TopicCopy(listener)
-    context.copy.take(KeyedBatch(0, 5, is_whole=True))
+    context.copy.apply(KeyedBatch(0, 5, is_whole=True))
 
 
 @given("an instance that reads the operators' topic, by this machine's own clocks")
@@ -207,8 +207,8 @@
     context.feeds = TopicFeeds(None, IsolatedBus(), None, NoQuestions())
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
-    context.watch.copy.take(KeyedBatch(0, 5, is_whole=True))
-    context.feeds.standstills.note_running()
+    context.watch.copy.apply(KeyedBatch(0, 5, is_whole=True))
+    context.feeds.process_pauses.note_running()
 
 
 def _contender(context, name):
--- a/src/kumquatseam/cachefeeds/__init__.py
+++ b/src/kumquatseam/cachefeeds/__init__.py
@@ -16,9 +16,9 @@
     CacheListing,
     CachePage,
 )
-from kumquatseam.cachefeeds._feeds import MIN_TOLD_SHARE, CacheFeeds
+from kumquatseam.cachefeeds._feeds import MIN_SENT_PART_SHARE, CacheFeeds
 from kumquatseam.cachefeeds._messages import (
-    QUESTION_KINDS,
+    QUERY_KINDS,
     IndexAnswer,
     IndexQuestion,
 )
@@ -32,9 +32,9 @@
     "CacheListing",
     "CachePage",
     "HolderReader",
-    "MIN_TOLD_SHARE",
+    "MIN_SENT_PART_SHARE",
     "IndexAnswer",
     "IndexQuestion",
-    "QUESTION_KINDS",
+    "QUERY_KINDS",
     "WarmStart",
 ]
--- a/src/kumquatseam/cachefeeds/_feeds.py
+++ b/src/kumquatseam/cachefeeds/_feeds.py
@@ -24,7 +24,7 @@
 STEP_S = 0.7
 #: parts shorter than this share of an engine's memory are not told: reading them
 #: again costs less than telling all instances.
-MIN_TOLD_SHARE = 1 / 512
+MIN_SENT_PART_SHARE = 1 / 512
 #: updates told in one summary at most.
 MAX_TOLD_UPDATES = 16
 #: updates remembered for being told; a summary goes out long before.
--- a/src/kumquatseam/cachefeeds/_messages.py
+++ b/src/kumquatseam/cachefeeds/_messages.py
@@ -26,4 +26,4 @@
 
 
 #: the classes of this module, by name on the wire.
-QUESTION_KINDS = {"index_question": IndexQuestion, "index_answer": IndexAnswer}
+QUERY_KINDS = {"index_question": IndexQuestion, "index_answer": IndexAnswer}
--- a/src/kumquatseam/feeds/__init__.py
+++ b/src/kumquatseam/feeds/__init__.py
@@ -13,7 +13,7 @@
 from kumquatseam.feeds._copy import TopicCopy
 from kumquatseam.feeds._feeds import TopicFeeds
 from kumquatseam.feeds._messages import (
-    QUESTION_KINDS,
+    QUERY_KINDS,
     TopicAnswer,
     TopicQuestion,
     TopicUpdate,
@@ -22,7 +22,7 @@
 from kumquatseam.feeds._shared_watch import FeedPeers, ReadPace, SharedWatch
 
 __all__ = [
-    "QUESTION_KINDS",
+    "QUERY_KINDS",
     "FeedPeers",
     "ReadPace",
     "ReaderChoice",
--- a/src/kumquatseam/feeds/_feeds.py
+++ b/src/kumquatseam/feeds/_feeds.py
@@ -37,7 +37,7 @@
         clock: Callable[[], float] = elapsed_s,
     ) -> None:
         self._clock = clock
-        self.standstills = Standstills(clock)
+        self.process_pauses = Standstills(clock)
         self._log_service = log
         self._are_peers_known = are_peers_known
         self._bus = bus
@@ -67,19 +67,19 @@
             pace,
             peers,
             self._clock,
-            self.standstills,
+            self.process_pauses,
         )
         self._watches[topic] = watch
         return watch
 
     @property
-    def watches(self) -> tuple[SharedWatch, ...]:
+    def followers(self) -> tuple[SharedWatch, ...]:
         """One watch a topic followed."""
         return tuple(self._watches.values())
 
     def start(self) -> None:
         """Begin to follow."""
-        pulse = StepLoop(PULSE_S, self.standstills.note_running, runs_at_once=True)
+        pulse = StepLoop(PULSE_S, self.process_pauses.note_running, runs_at_once=True)
         self._parts = PartGroup("feeds", [pulse, *self._watches.values()])
         self._parts.start()
 
@@ -91,7 +91,7 @@
         """Take in what another instance read."""
         watch = self._watches.get(update.topic)
         if watch is not None:
-            watch.take_update(update)
+            watch.apply_update(update)
         if self._should_relay(update):
             self._bus.publish(attrs.evolve(update, is_relayed=True))
 
@@ -114,7 +114,7 @@
             return TopicAnswer(0.0)
         if (watch.copy.next_offset or 0) <= question.known_offset:
             return TopicAnswer(watch.copy.age_s())
-        return TopicAnswer(watch.copy.age_s(), watch.copy.whole())
+        return TopicAnswer(watch.copy.age_s(), watch.copy.snapshot())
 
     def _ask_others(
         self, topic: str, known_offset: int
--- a/src/kumquatseam/feeds/_messages.py
+++ b/src/kumquatseam/feeds/_messages.py
@@ -56,4 +56,4 @@
 
 
 #: the classes of this package, by name on the wire.
-QUESTION_KINDS = {"question": TopicQuestion, "answer": TopicAnswer}
+QUERY_KINDS = {"question": TopicQuestion, "answer": TopicAnswer}
--- a/src/kumquatseam/feeds/_shared_watch.py
+++ b/src/kumquatseam/feeds/_shared_watch.py
@@ -57,13 +57,13 @@
     :param pause_s: pause between two reads, for topics that change all the time,
         where waiting would mean one call a change.
     :param stale_after_s: an instance whose copy is older reads by itself.
-    :param settle_s: pause before the first read.
+    :param initial_delay_s: pause before the first read.
     """
 
     wait_s: float
     pause_s: float
     stale_after_s: float
-    settle_s: float = 0.0
+    initial_delay_s: float = 0.0
 
     @property
     def reader_fresh_s(self) -> float:
@@ -118,7 +118,7 @@
         pace: ReadPace,
         peers: FeedPeers,
         clock: Callable[[], float] = elapsed_s,
-        standstills: Standstills | None = None,
+        process_pauses: Standstills | None = None,
     ) -> None:
         super().__init__()
         self.topic = topic
@@ -127,7 +127,7 @@
         self._pace = pace
         self._peers = peers
         self._clock = clock
-        self._standstills = standstills
+        self._standstills = process_pauses
         self._choice = ReaderChoice(pace.reader_fresh_s)
         self._wake = gevent.event.Event()
         self._first_ask: gevent.Greenlet | None = None
@@ -161,7 +161,7 @@
     def start(self) -> None:
         """Begin; a log that is silent is not waited for."""
         super().start()
-        first_ask_s = self._pace.settle_s + FIRST_ASK_S
+        first_ask_s = self._pace.initial_delay_s + FIRST_ASK_S
         self._first_ask = gevent.spawn_later(first_ask_s, self.learn_from_peer)
 
     def close(self) -> None:
@@ -171,7 +171,7 @@
         super().close()
 
     def _run(self) -> None:
-        gevent.sleep(self._pace.settle_s)
+        gevent.sleep(self._pace.initial_delay_s)
         while True:
             try:
                 self._step()
@@ -181,7 +181,7 @@
 
     def _step(self) -> None:
         if not self.should_read():
-            self._wake.wait(self._next_check_s())
+            self._wake.wait(self._next_check_in_s())
             self._wake.clear()
             return
         try:
@@ -194,7 +194,7 @@
         if self.is_reader and self._pace.pause_s:
             gevent.sleep(self._pace.pause_s)
 
-    def _next_check_s(self) -> float:
+    def _next_check_in_s(self) -> float:
         """Return how long nothing but an update can make this instance read."""
         # Where nobody reads yet, this instance may just be about to: right after a
         # start it does not know the others.
@@ -249,7 +249,7 @@
 
     def _take(self, batch: KeyedBatch, age_s: float = 0.0) -> tuple[KeyedChange, ...]:
         unseen_s = self._unseen_s()
-        return self.copy.take(batch, self._outage_age_s(), age_s, unseen_s)
+        return self.copy.apply(batch, self._outage_age_s(), age_s, unseen_s)
 
     def _unseen_s(self) -> float:
         """Return for how long what is new now may have gone unnoticed.
--- a/src/kumquatseam/gateway/_paces.py
+++ b/src/kumquatseam/gateway/_paces.py
@@ -62,5 +62,5 @@
     :param is_first_start: all of them start together.
     """
     if is_first_start:
-        return attrs.evolve(INSTANCE_PACE, settle_s=FIRST_START_SETTLE_S)
+        return attrs.evolve(INSTANCE_PACE, initial_delay_s=FIRST_START_SETTLE_S)
     return INSTANCE_PACE
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -5,7 +5,7 @@
 from kumquatseam import cachefeeds, feeds, quarantine, quotas
 from kumquatseam.admission import RetryBudget
 from kumquatseam.cachefeeds import (
-    MIN_TOLD_SHARE,
+    MIN_SENT_PART_SHARE,
     CacheFeeds,
     CacheHolder,
     WarmStart,
@@ -78,7 +78,7 @@
     **quotas.DATAGRAM_KINDS,
 }
 #: what they ask each other.
-QUESTION_KINDS = {**feeds.QUESTION_KINDS, **cachefeeds.QUESTION_KINDS}
+QUERY_KINDS = {**feeds.QUERY_KINDS, **cachefeeds.QUERY_KINDS}
 #: seconds between two looks whether an engine or store has somebody to ask it.
 CACHE_CHECK_INTERVAL_S = 0.25
 #: how long a start waits for the list of the other instances; while the log is
@@ -130,7 +130,7 @@
             file.gateway.link_mbps,
         )
         self._bus = PeerBus(self._record, BUS_KINDS)
-        self._questions = Questions(self._bus, QUESTION_KINDS, file.peers.seeds)
+        self._questions = Questions(self._bus, QUERY_KINDS, file.peers.seeds)
         self._feeds = TopicFeeds(
             self._log_service,
             self._bus,
@@ -303,7 +303,7 @@
             self._bus.name,
             self._cache_holders,
             self._present_instances,
-            lambda: self._index.engine_capacity_tokens * MIN_TOLD_SHARE,
+            lambda: self._index.engine_capacity_tokens * MIN_SENT_PART_SHARE,
             list_tracked=self._tracked_holders,
         )
 
--- a/src/kumquatseam/quarantine/follower.py
+++ b/src/kumquatseam/quarantine/follower.py
@@ -35,7 +35,9 @@
     def _run(self) -> None:
         while True:
             try:
-                self._copy.take(self._reader.read(self._copy.next_offset, self._wait_s))
+                self._copy.apply(
+                    self._reader.read(self._copy.next_offset, self._wait_s)
+                )
             except LogServiceError as error:
                 _log.bind(error=str(error)).warning(
                     "List of suspects not read; retrying."
