--- a/features/feeds.feature
+++ b/features/feeds.feature
@@ -1,8 +1,8 @@
 Feature: Instances follow the log's topics together
-  One instance reads a topic and tells the others. Nothing may get lost on the
-  way, and nobody may stay behind when those that read fail.
+  One instance reads a topic and broadcasts the changes. No change may be lost when
+  a broadcast is, and every instance must stay up to date when the reader fails.
 
-  Scenario Outline: One instance reads for all
+  Scenario Outline: One instance reads for all others
     Given <count> instances that follow a topic
     When 5 seconds pass
     Then <readers> instances read it
@@ -14,120 +14,120 @@
       | 7     | 1       |
       | 61    | 1       |
 
-  Scenario: An instance with the fastest link reads
+  Scenario: The reader is an instance with the fastest link
     Given 61 instances that follow a topic, 6 of them with faster links
     When 5 seconds pass
     Then 1 instances read it
     And those that read have the faster links
 
-  Scenario: Reading for all takes a few calls however many there are
+  Scenario: The number of calls to the log does not grow with the fleet
     Given 61 instances that follow a topic
     When 5 seconds pass
     And 10 more seconds pass
     Then the log was called at most 30 times in these 10 seconds
 
-  Scenario: A new value reaches all
+  Scenario: A new value reaches all instances
     Given 7 instances that follow a topic
     When 2 seconds pass
     And a value is written
     And 0.6 seconds pass
-    Then all know the newest value
+    Then all instances have the newest value
 
-  Scenario: What changes nothing is not told
+  Scenario: A write without effect is not broadcast
     Given 7 instances that follow a topic
     When 2 seconds pass
-    And a value is written that changes nothing
+    And a value without effect is written
     And 0.6 seconds pass
-    Then no update carried it
+    Then no update contains it
 
-  Scenario Outline: Those that read fail and others take their place
+  Scenario Outline: When the reader fails, another instance takes over
     Given 7 instances that follow a topic
     When 5 seconds pass
     And those that read are <fault>
     And a value is written
-    And <patience> seconds pass
-    Then all that can know the newest value do
+    And <seconds> seconds pass
+    Then all reachable instances have the newest value
     When 3 seconds pass
     Then 1 other instances read it
 
     Examples:
-      | fault                | patience |
+      | fault                | seconds  |
       | cut off from the log | 1.8      |
       | cut off from all     | 1.8      |
       | frozen               | 1.8      |
 
-  Scenario: An instance that the log turns away learns from the others
+  Scenario: Instances that cannot reach the log receive updates from the reader
     Given 7 instances that follow a topic
     When 5 seconds pass
-    And instances that do not read are cut off from the log
+    And all instances but the reader are cut off from the log
     And a value is written
     And 0.6 seconds pass
-    Then all know the newest value
+    Then all instances have the newest value
 
-  Scenario: A large value is read by each, not sent to all
+  Scenario: Each instance reads a large value from the log itself
     Given 7 instances that follow a topic
     When 5 seconds pass
     And a value of 60000 bytes is written
     And 0.7 seconds pass
-    Then all know the newest value
-    And no update carried it
+    Then all instances have the newest value
+    And no update contains it
 
-  Scenario: An instance that the log turns away takes a large value from another
+  Scenario: Instances that cannot reach the log fetch a large value from a peer
     Given 7 instances that follow a topic
     When 5 seconds pass
-    And instances that do not read are cut off from the log
+    And all instances but the reader are cut off from the log
     And a value of 60000 bytes is written
     And 3 seconds pass
-    Then all know the newest value
+    Then all instances have the newest value
 
-  Scenario: An instance that starts without the log takes all from another
+  Scenario: An instance that starts while the log is down fetches its copy from a peer
     Given 7 instances that follow a topic
     When 3 seconds pass
     And a value is written
     And 1 seconds pass
     And the log goes down
-    And one instance starts anew
+    And one instance restarts
     And 1 seconds pass
-    Then all know the newest value
+    Then all instances have the newest value
 
-  Scenario: A lost update is noticed
+  Scenario: A lost update is detected and made up for
     Given 7 instances that follow a topic
     When 5 seconds pass
-    And the next update is lost on its way to one of them
+    And the next update to one of them is lost
     And a value is written
     And 1 seconds pass
-    Then all know the newest value
+    Then all instances have the newest value
 
-  Scenario: What one reader learnt from another is missed by nobody
+  Scenario: Changes that a reader received from another reader reach all instances
     Given a copy that took a change from another reader's update
-    When its own next read begins before that change
-    Then its update is no gap to those who took the change
-    And a gap to those who did not
+    When its own next read starts before that change
+    Then copies that contain the change can apply its update
+    And copies without the change cannot apply it
 
-  Scenario: Any order of updates and reads gives the same copy
-    Then copies that get random reads, updates, repeats and losses never go wrong
+  Scenario: Copies are correct for any order of updates and reads
+    Then copies match the log under random reads, updates, duplicates and losses
 
-  Scenario: Entries that lapsed in an outage of the list stay for a while
+  Scenario: Entries that expired in an outage of the list stay for a grace period
     Given an upstream listed before an outage of the list
-    When its entry is dropped 0.1 seconds after the outage
-    Then the upstream still takes work
+    When its entry is removed 0.1 seconds after the outage
+    Then the upstream still accepts requests
     When 2.6 seconds go by
-    Then the upstream is gone
+    Then the upstream is removed
 
-  Scenario: Entries that lapsed in an outage come back
+  Scenario: Entries that expired in an outage and are written again stay
     Given an upstream listed before an outage of the list
-    When its entry is dropped 0.1 seconds after the outage
+    When its entry is removed 0.1 seconds after the outage
     And its entry is written again
     And 2.6 seconds go by
-    Then the upstream still takes work
+    Then the upstream still accepts requests
 
-  Scenario: Without an outage an entry that is dropped is gone at once
+  Scenario: Without an outage a removed entry takes effect at once
     Given an upstream listed before an outage of the list
-    When its entry is dropped long after the outage
-    Then the upstream is gone
+    When its entry is removed long after the outage
+    Then the upstream is removed
 
-  Scenario: A gateway that the store turns away serves by what its peers know
-    Given two gateways before 1 plain replica, the second without the store
-    Then the second serves requests as well
+  Scenario: A gateway that cannot reach the store uses the copies of its peers
+    Given two gateways in front of 1 plain replica, the second without the store
+    Then the second gateway serves requests as well
     When the operators move the route to another service
-    Then within 3 seconds the second sends requests to the other service only
+    Then within 3 seconds the second gateway sends requests to the other service only
--- a/features/steps/cache_feeds_steps.py
+++ b/features/steps/cache_feeds_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what engines and stores say that they keep, in modelled time."""
+"""Steps for reported cache contents of engines and stores, in simulated time."""
 
 from behave import given, then, when
 from cache_plan_steps import chain
@@ -11,8 +11,8 @@
     CacheHolder,
     CacheListing,
     CachePage,
-    HolderReader,
-    IndexQuestion,
+    HolderPoller,
+    IndexQuery,
 )
 from kumquatseam.placement import CachePlanner, CacheSource
 from kumquatseam.prompts import HeldPart, PromptChain, PromptIndex, PromptPart
@@ -26,7 +26,7 @@
 # One index.
 
 
-@given("an index that believes e0 holds a prompt of {shared:d} shared tokens")
+@given("an index in which e0 holds a prompt of {shared:d} shared tokens")
 def step_index(context, shared):
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
@@ -34,29 +34,31 @@
     context.index.note_prefill("e0", SALT, context.prompt)
 
 
-def _says(context, after_s, parts, is_whole=False):
+def _report(context, after_s, parts, is_whole=False):
     context.clock.now_s += after_s
     held = [HeldPart(SALT, part_id, tokens) for part_id, tokens in parts]
     context.index.apply_holder_report("e0", held, is_whole)
 
 
-@when("{seconds:g} seconds later e0 says that it dropped the second part")
+@when("{seconds:g} seconds later e0 reports that it evicted the second part")
 def step_dropped(context, seconds):
-    _says(context, seconds, [("item", 0)])
+    _report(context, seconds, [("item", 0)])
 
 
 @when(
-    "{seconds:g} seconds later e0 says that it keeps {tokens:d} tokens of the second "
-    "part"
+    "{seconds:g} seconds later e0 reports that it holds {tokens:d} tokens of the "
+    "second part"
 )
 def step_partial(context, seconds, tokens):
-    _says(context, seconds, [("item", tokens)])
+    _report(context, seconds, [("item", tokens)])
 
 
-@when("{seconds:g} seconds later e0 says that it keeps all whole blocks of both parts")
+@when(
+    "{seconds:g} seconds later e0 reports that it holds all whole blocks of both parts"
+)
 def step_blocks(context, seconds):
     parts = [(p.part_id, p.tokens // 16 * 16) for p in context.prompt.shared]
-    _says(context, seconds, parts)
+    _report(context, seconds, parts)
 
 
 @when("{seconds:g} seconds later e0 lists only another prompt")
@@ -64,26 +66,26 @@
     other = context.other = PromptChain(
         (PromptPart("elsewhere", 900), PromptPart("end", 50))
     )
-    _says(context, seconds, [(p.part_id, p.tokens) for p in other.parts], True)
+    _report(context, seconds, [(p.part_id, p.tokens) for p in other.parts], True)
 
 
 def _held_tokens(context, prompt):
     return context.index.look_up(SALT, prompt).held_tokens("e0")
 
 
-@then("e0 is believed to hold {tokens:d} tokens of it")
-def step_believed(context, tokens):
+@then("the index shows {tokens:d} tokens of it at e0")
+def step_indexed(context, tokens):
     assert _held_tokens(context, context.prompt) == tokens
 
 
-@then("it is believed to hold both parts")
+@then("the index shows both parts at e0")
 def step_both_parts(context):
     missing = context.prompt.shared_tokens - _held_tokens(context, context.prompt)
     assert 0 <= missing < 2 * 16, missing
 
 
-@then("e0 is believed to hold the other prompt")
-def step_other_held(context):
+@then("the index shows the other prompt at e0")
+def step_other_indexed(context):
     assert _held_tokens(context, context.other) == 900
 
 
@@ -97,15 +99,15 @@
         self.info = CacheHolder(f"h{number}", f"10.0.0.{number}:1", f"h{number}", 1000)
         self.born_ms = 1000
         self.epoch = 1
-        self.kept = {f"h{number}-p{n}": 1000 for n in range(prompts)}
+        self.cached = {f"h{number}-p{n}": 1000 for n in range(prompts)}
         self.events = []
         self.first_event = 0
         self.lists = 0
-        self.questions = 0
+        self.polls = 0
         self.is_silent = False
 
     def change(self, part_id, tokens):
-        self.kept[part_id] = tokens
+        self.cached[part_id] = tokens
         self.events.append((part_id, tokens))
 
 
@@ -115,7 +117,7 @@
 
     def _find(self, holder):
         (found,) = [h for h in self._world.holders if h.info.holder == holder.holder]
-        found.questions += 1
+        found.polls += 1
         return None if found.is_silent else found
 
     def list_parts(self, holder):
@@ -123,7 +125,7 @@
         if found is None:
             return None
         found.lists += 1
-        parts = tuple(HeldPart(SALT, p, t) for p, t in found.kept.items() if t)
+        parts = tuple(HeldPart(SALT, p, t) for p, t in found.cached.items() if t)
         return CacheListing(found.epoch, len(found.events), parts, found.born_ms)
 
     def read_events(self, holder, since, wait_s):
@@ -136,8 +138,8 @@
         return CachePage(found.epoch, number, parts, found.born_ms, has_gap)
 
 
-class ModelledReader(HolderReader):
-    """Asks in modelled time, once the pause it asked for is over."""
+class ModelledPoller(HolderPoller):
+    """Polls in simulated time, when the pause returned by a step is over."""
 
     def __init__(self, instance, *arguments):
         super().__init__(*arguments)
@@ -173,19 +175,19 @@
             self.index,
             self.name,
             lambda: [h.info for h in world.holders],
-            world.present,
+            world.instance_names,
             lambda: 16,
             world.clock,
-            lambda *arguments: ModelledReader(self, *arguments),
+            lambda *arguments: ModelledPoller(self, *arguments),
             lambda: self.world.tracked,
         )
 
     def step(self):
         self.feeds.step()
-        for reader in list(self.running):
-            reader.run_due()
+        for poller in list(self.running):
+            poller.run_due()
         for update in self.feeds.take_fresh():
-            self.world.tell(self, update)
+            self.world.send(self, update)
 
 
 class CacheWorld:
@@ -197,14 +199,14 @@
         for number in range(instances):
             self.instances.append(ModelledInstance(self, f"i{number}"))
 
-    def present(self):
-        """Those that are down are not known to be away, as in a large fleet."""
+    def instance_names(self):
+        """Return all names: failed instances are not detected, as in a large fleet."""
         return [instance.name for instance in self.instances]
 
-    def tell(self, sender, update):
+    def send(self, sender, update):
         for other in self.instances:
             if other is not sender and not other.is_down:
-                other.feeds.apply_update(update)
+                other.feeds.take_update(update)
 
     def run(self, seconds):
         end_s = self.clock.now_s + seconds
@@ -219,8 +221,7 @@
 
 
 @given(
-    "{instances:d} instances before {holders:d} holders of {prompts:d} shared prompts "
-    "each"
+    "{instances:d} instances and {holders:d} holders of {prompts:d} shared prompts each"
 )
 def step_world(context, instances, holders, prompts):
     context.cache_world = CacheWorld(instances, holders, prompts)
@@ -231,19 +232,26 @@
     context.cache_world.run(seconds)
 
 
-def _knowledge(instance, holder):
+def _indexed_parts(instance, holder):
     parts = instance.index.held_parts(holder.info.holder)
     return {part.part_id: part.tokens for part in parts}
 
 
-@then("every instance knows what every holder keeps")
-def step_all_know(context):
+@then("every instance's index matches every holder")
+def step_all_match(context):
     world = context.cache_world
     for holder in world.holders:
-        kept = {part_id: tokens for part_id, tokens in holder.kept.items() if tokens}
+        expected = {
+            part_id: tokens for part_id, tokens in holder.cached.items() if tokens
+        }
         for instance in world.alive():
-            found = _knowledge(instance, holder)
-            assert found == kept, (instance.name, holder.info.holder, found, kept)
+            found = _indexed_parts(instance, holder)
+            assert found == expected, (
+                instance.name,
+                holder.info.holder,
+                found,
+                expected,
+            )
 
 
 @then("each holder was listed at most {count:d} times")
@@ -252,52 +260,52 @@
     assert max(lists) <= count, lists
 
 
-@then("each holder is asked by {count:d} instance")
-def step_asked_by(context, count):
+@then("each holder is polled by {count:d} instance")
+def step_polled_by(context, count):
     world = context.cache_world
     for holder in world.holders:
         name = holder.info.holder
-        asking = [i.name for i in world.alive() if name in i.feeds.asked_holders]
-        assert len(asking) == count, (name, asking)
+        polling = [i.name for i in world.alive() if name in i.feeds.polled_holders]
+        assert len(polling) == count, (name, polling)
 
 
-@when("each holder drops {drops:d} of its prompts and takes in {takes:d} others")
-def step_change(context, drops, takes):
+@when("each holder evicts {evictions:d} of its prompts and caches {additions:d} others")
+def step_change(context, evictions, additions):
     world = context.cache_world
     for holder in world.holders:
-        for part_id in list(holder.kept)[:drops]:
+        for part_id in list(holder.cached)[:evictions]:
             holder.change(part_id, 0)
-        for number in range(takes):
+        for number in range(additions):
             part_id = f"{holder.info.holder}-new{number}"
-            # Traffic showed that the part is shared: some engine was given it.
+            # Each index has seen the part as shared in traffic to another engine.
             prompt = PromptChain((PromptPart(part_id, 700), PromptPart("end", 5)))
             for instance in world.instances:
                 instance.index.note_prefill("elsewhere", SALT, prompt)
             holder.change(part_id, 700)
 
 
-@when("the instance that asks the first holder fails")
-def step_reader_fails(context):
+@when("the instance that polls the first holder fails")
+def step_poller_fails(context):
     world = context.cache_world
     name = world.holders[0].info.holder
-    (asking,) = [i for i in world.instances if name in i.feeds.asked_holders]
-    asking.is_down = True
+    (polling,) = [i for i in world.instances if name in i.feeds.polled_holders]
+    polling.is_down = True
 
 
-@when("one instance starts anew and asks another")
-def step_starts_anew(context):
+@when("one instance restarts and queries another")
+def step_instance_restarts(context):
     world = context.cache_world
     name = world.holders[0].info.holder
-    starting = next(i for i in world.instances if name not in i.feeds.asked_holders)
+    starting = next(i for i in world.instances if name not in i.feeds.polled_holders)
     other = next(i for i in world.instances if i is not starting)
     starting.restart()
-    starting.feeds.take_answer(other.feeds.answer(IndexQuestion(starting.name)))
+    starting.feeds.apply_reply(other.feeds.answer(IndexQuery(starting.name)))
 
 
-@when("the first holder drops {drops:d} of its prompts and loses the events")
-def step_lost_events(context, drops):
+@when("the first holder evicts {evictions:d} of its prompts and loses the events")
+def step_lost_events(context, evictions):
     holder = context.cache_world.holders[0]
-    for part_id in list(holder.kept)[:drops]:
+    for part_id in list(holder.cached)[:evictions]:
         holder.change(part_id, 0)
     holder.first_event = len(holder.events)
 
@@ -306,50 +314,50 @@
 def step_holder_restarts(context):
     holder = context.cache_world.holders[0]
     holder.epoch += 1
-    holder.kept.clear()
+    holder.cached.clear()
     holder.events.clear()
 
 
-@when("the first holder has started again and nobody was told")
+@when("the first holder has restarted without notice")
 def step_other_incarnation(context):
     context.cache_world.holders[0].born_ms = 2000
 
 
-@then("nobody believes that the first holder keeps anything")
-def step_nobody(context):
+@then("every index is empty for the first holder")
+def step_index_empty(context):
     world = context.cache_world
-    assert all(not _knowledge(i, world.holders[0]) for i in world.instances)
+    assert all(not _indexed_parts(i, world.holders[0]) for i in world.instances)
 
 
-@when("a holder takes in {count:d} parts that no other request names")
+@when("a holder caches {count:d} parts that no other request contains")
 def step_own_parts(context, count):
     for number in range(count):
         context.cache_world.holders[0].change(f"own-{number}", 300)
 
 
-@then("only the instance that asks it knows of these")
-def step_only_reader(context):
+@then("only the instance that polls it has these in its index")
+def step_only_poller(context):
     world = context.cache_world
     holder = world.holders[0]
-    knowing = [i.name for i in world.instances if "own-0" in _knowledge(i, holder)]
-    asking = [i.name for i in world.instances if i.feeds.asked_holders]
-    assert knowing == asking and len(asking) == 1, (knowing, asking)
+    indexing = [i.name for i in world.instances if "own-0" in _indexed_parts(i, holder)]
+    polling = [i.name for i in world.instances if i.feeds.polled_holders]
+    assert indexing == polling and len(polling) == 1, (indexing, polling)
 
 
-@when("the first holder falls silent")
+@when("the first holder stops answering")
 def step_silent(context):
     context.cache_world.holders[0].is_silent = True
 
 
-@then("it was asked at most {count:d} times")
-def step_questions(context, count):
-    assert context.cache_world.holders[0].questions <= count
+@then("it was polled at most {count:d} times")
+def step_polls(context, count):
+    assert context.cache_world.holders[0].polls <= count
 
 
 # Sources.
 
 
-@given("a prompt that an engine and a store behind a slow link keep")
+@given("a prompt held by an engine and by a store behind a slow link")
 def step_two_sources(context):
     context.clock = Clock()
     context.index = PromptIndex(context.clock)
@@ -370,7 +378,7 @@
     assert plan.source.holder == "e0" and plan.fetched_tokens == 6000, plan
 
 
-@then("the time of a transfer from the store counts the slower link")
+@then("the estimated transfer time from the store uses the slower link")
 def step_slow_link(context):
     # 6,000 tokens of 18,432 bytes over 28 Gbit/s take 31.6 ms.
     assert 31 < context.alone.plan("e1", "z0").fetch_ms < 32
@@ -379,8 +387,8 @@
 # A process.
 
 
-@when("the gateway starts anew")
-def step_gateway_anew(context):
+@when("the gateway restarts")
+def step_gateway_restarts(context):
     gateway = context.platform.gateways[0]
 
     def has_written():
@@ -394,12 +402,14 @@
 
     def has_listed():
         lines = gateway.lines()[context.lines_before :]
-        return sum(d["event"] == "A holder listed what it keeps." for d in lines) == 2
+        return (
+            sum(d["event"] == "A holder listed its cache contents." for d in lines) == 2
+        )
 
     wait_until("both engines listed", has_listed)
 
 
-@then("the second request goes where the first one's parts are held")
+@then("the second request goes to the engine that holds the first one's parts")
 def step_goes_there(context):
     def placed():
         lines = context.platform.gateways[0].lines()
@@ -433,15 +443,15 @@
     context.cache_world.tracked = {"h5"}
 
 
-@then("it knows what these {count:d} keep, and nothing of the others")
-@then("it knows what this {count:d} keeps, and nothing of the others")
-def step_knows_tracked(context, count):
+@then("its index matches these {count:d} and has no other holders")
+@then("its index matches this {count:d} and has no other holders")
+def step_only_tracked(context, count):
     world = context.cache_world
     (instance,) = world.instances
     assert len(world.tracked) == count
     for holder in world.holders:
         name = holder.info.holder
-        known = {p.part_id for p in instance.index.held_parts(name)}
-        expected = set(holder.kept) if name in world.tracked else set()
-        assert known == expected, (name, len(known), len(expected))
-    assert instance.feeds.asked_holders == world.tracked
+        indexed = {p.part_id for p in instance.index.held_parts(name)}
+        expected = set(holder.cached) if name in world.tracked else set()
+        assert indexed == expected, (name, len(indexed), len(expected))
+    assert instance.feeds.polled_holders == world.tracked
--- a/features/steps/feeds_steps.py
+++ b/features/steps/feeds_steps.py
@@ -1,4 +1,4 @@
-"""Steps for topics that instances follow together, in modelled time."""
+"""Steps for topics that instances follow together, in simulated time."""
 
 import random
 
@@ -13,8 +13,8 @@
 from kumquatseam.feeds import (
     FeedPeers,
     ReadPace,
-    SharedWatch,
     TopicCopy,
+    TopicFollower,
     TopicUpdate,
 )
 from kumquatseam.logservice import (
@@ -39,7 +39,7 @@
 
 
 class Values(KeyedListener):
-    """Keeps the values; what ends in a dot changes nothing."""
+    """Records the values; one that ends in a dot counts as without effect."""
 
     def __init__(self):
         self.values = {}
@@ -50,7 +50,7 @@
 
 
 class CountingLog(InMemoryLogService):
-    """One instance's way to the log."""
+    """One instance's access to the log, with a count of calls."""
 
     def __init__(self, world):
         super().__init__(world.store, LogFaults())
@@ -64,7 +64,7 @@
 
 
 class ModelledInstance:
-    """An instance whose watch is stepped in modelled time."""
+    """An instance whose topic follower runs in simulated time."""
 
     def __init__(self, world, name, link_mbps=0.0):
         self.world = world
@@ -82,9 +82,9 @@
             lambda: self._view().preceding(),
             lambda: self._view().position,
             self._publish,
-            self._ask,
+            self._query,
         )
-        self.watch = SharedWatch(
+        self.watch = TopicFollower(
             self.log, TOPIC, self.listener, PACE, peers, self.world.clock
         )
         self.next_s = self.world.clock() + random.Random(self.name).random() * 0.3
@@ -104,7 +104,7 @@
     def _publish(self, update):
         self.world.publish(self, CODEC.encode(update))
 
-    def _ask(self, known_offset):
+    def _query(self, known_offset):
         for other in self.world.instances:
             if other is not self and not (other.is_cut or other.is_frozen):
                 batch = other.watch.copy.snapshot()
@@ -113,7 +113,7 @@
         return None
 
     def step(self):
-        """Do what the watch's loop does, without sleeping."""
+        """Do what the loop of the follower does, without sleeping."""
         if self.is_frozen or self.world.clock() < self.next_s:
             return
         watch = self.watch
@@ -125,12 +125,12 @@
             pause_s = PACE.pause_s if watch.is_reader else 0.1
         except LogServiceError as error:
             pause_s = watch.note_failure(error)
-            watch.learn_from_peer()
+            watch.fetch_from_peer()
         self.next_s = self.world.clock() + pause_s
 
 
 class FeedWorld:
-    """Instances around one log."""
+    """Instances that use one log."""
 
     def __init__(self):
         self.clock = Clock()
@@ -138,7 +138,7 @@
         self.instances = []
         self.calls = 0
         self.is_down = False
-        self.told = []
+        self.sent = []
         self.lose_next_to = None
         self.written = 0
         self.newest = b""
@@ -146,7 +146,7 @@
     def publish(self, sender, data):
         if sender.is_cut:
             return
-        self.told.append(data)
+        self.sent.append(data)
         for other in self.instances:
             if other is sender or other.is_frozen or other.is_cut:
                 continue
@@ -213,23 +213,23 @@
 
 @when("a value is written")
 def step_write(context):
-    context.world.told.clear()
+    context.world.sent.clear()
     context.world.write()
 
 
-@when("a value is written that changes nothing")
+@when("a value without effect is written")
 def step_write_same(context):
-    context.world.told.clear()
+    context.world.sent.clear()
     context.world.write(end=b".")
 
 
 @when("a value of {size:d} bytes is written")
 def step_write_large(context, size):
-    context.world.told.clear()
+    context.world.sent.clear()
     context.world.write(size)
 
 
-@then("all know the newest value")
+@then("all instances have the newest value")
 def step_all_know(context):
     world = context.world
     behind = [
@@ -238,20 +238,20 @@
     assert not behind, behind
 
 
-@then("all that can know the newest value do")
+@then("all reachable instances have the newest value")
 def step_all_that_can(context):
     world = context.world
-    fit = [i for i in world.instances if not (i.is_cut or i.is_frozen)]
-    behind = [i.name for i in fit if i.listener.values != {"k": world.newest}]
+    reachable = [i for i in world.instances if not (i.is_cut or i.is_frozen)]
+    behind = [i.name for i in reachable if i.listener.values != {"k": world.newest}]
     assert not behind, behind
 
 
-@then("no update carried it")
-def step_not_told(context):
-    told = [CODEC.decode(data) for data in context.world.told]
-    assert told
-    assert not any(update.batch.changes for update in told)
-    assert all(len(data) < 500 for data in context.world.told)
+@then("no update contains it")
+def step_not_sent(context):
+    updates = [CODEC.decode(data) for data in context.world.sent]
+    assert updates
+    assert not any(update.batch.changes for update in updates)
+    assert all(len(data) < 500 for data in context.world.sent)
 
 
 @when("those that read are {fault}")
@@ -269,8 +269,8 @@
     assert len(others) == count, [i.name for i in others]
 
 
-@when("instances that do not read are cut off from the log")
-def step_cut_listeners(context):
+@when("all instances but the reader are cut off from the log")
+def step_cut_followers(context):
     for instance in context.world.instances:
         if not instance.watch.is_reader:
             instance.log.faults.down = True
@@ -281,15 +281,15 @@
     context.world.is_down = True
 
 
-@when("one instance starts anew")
+@when("one instance restarts")
 def step_restart(context):
     context.world.instances[3].restart()
 
 
-@when("the next update is lost on its way to one of them")
+@when("the next update to one of them is lost")
 def step_lose(context):
-    listeners = [i for i in context.world.instances if not i.watch.is_reader]
-    context.world.lose_next_to = listeners[0]
+    followers = [i for i in context.world.instances if not i.watch.is_reader]
+    context.world.lose_next_to = followers[0]
 
 
 # One copy.
@@ -311,25 +311,25 @@
     context.copy.apply(KeyedBatch(5, 6, (_change(5),)))
 
 
-@when("its own next read begins before that change")
+@when("its own next read starts before that change")
 def step_own_read(context):
     known = context.copy.next_offset
-    news = context.copy.apply(KeyedBatch(5, 7, (_change(5), _change(6, b"w"))))
-    assert [change.offset for change in news] == [6]
-    context.update = KeyedBatch(known, context.copy.next_offset, news)
+    effective = context.copy.apply(KeyedBatch(5, 7, (_change(5), _change(6, b"w"))))
+    assert [change.offset for change in effective] == [6]
+    context.update = KeyedBatch(known, context.copy.next_offset, effective)
 
 
-@then("its update is no gap to those who took the change")
+@then("copies that contain the change can apply its update")
 def step_no_gap(context):
-    assert _copy(6).follows(context.update)
+    assert _copy(6).can_apply(context.update)
 
 
-@then("a gap to those who did not")
+@then("copies without the change cannot apply it")
 def step_gap(context):
-    assert not _copy(5).follows(context.update)
+    assert not _copy(5).can_apply(context.update)
 
 
-@then("copies that get random reads, updates, repeats and losses never go wrong")
+@then("copies match the log under random reads, updates, duplicates and losses")
 def step_random(context):
     draw = random.Random(5)
     for _ in range(300):
@@ -337,12 +337,12 @@
 
 
 def _play_random_updates(draw):
-    """Two readers and a listener; the listener's copy must match the log's."""
+    """Check that two readers' copies and a follower's copy match the log."""
     log = [KeyedChange(0, "a", b"0")]
     copies = [TopicCopy(Values()) for _ in range(3)]
     for copy in copies:
         copy.apply(KeyedBatch(0, 1, tuple(log), is_whole=True))
-    on_the_way = []
+    in_flight = []
     for _ in range(60):
         if draw.random() < 0.5:
             key, value = draw.choice("abc"), b"%d" % len(log)
@@ -350,17 +350,17 @@
         reader = draw.choice(copies[:2])
         known = reader.next_offset
         batch = KeyedBatch(known, len(log), tuple(log[known:]))
-        # Another reader's update may come while the read is under way.
-        if on_the_way and draw.random() < 0.5:
-            other = draw.choice(on_the_way)
-            if reader.follows(other):
-                reader.take(other)
+        # Another reader's update may arrive during the read.
+        if in_flight and draw.random() < 0.5:
+            other = draw.choice(in_flight)
+            if reader.can_apply(other):
+                reader.apply(other)
         known = reader.next_offset
-        news = reader.take(batch)
-        on_the_way.append(KeyedBatch(known, reader.next_offset, news))
-        for update in draw.sample(on_the_way, min(2, len(on_the_way))):
-            if copies[2].follows(update):
-                copies[2].take(update)
+        effective = reader.apply(batch)
+        in_flight.append(KeyedBatch(known, reader.next_offset, effective))
+        for update in draw.sample(in_flight, min(2, len(in_flight))):
+            if copies[2].can_apply(update):
+                copies[2].apply(update)
         _check_against(log, copies[2])
     for copy in copies:
         _check_against(log, copy)
@@ -372,7 +372,7 @@
     assert found == expected, (found, expected)
 
 
-# Entries.
+# Entries of the list of upstreams.
 
 
 @given("an upstream listed before an outage of the list")
@@ -383,12 +383,12 @@
     context.directory.put(context.entry)
 
 
-@when("its entry is dropped {age_s:g} seconds after the outage")
+@when("its entry is removed {age_s:g} seconds after the outage")
 def step_dropped(context, age_s):
     assert context.directory.remove("e0", age_s)
 
 
-@when("its entry is dropped long after the outage")
+@when("its entry is removed long after the outage")
 def step_dropped_plainly(context):
     assert context.directory.remove("e0")
 
@@ -404,12 +404,12 @@
     context.directory.sweep()
 
 
-@then("the upstream still takes work")
+@then("the upstream still accepts requests")
 def step_still(context):
     assert context.directory.status("e0") is not None
 
 
-@then("the upstream is gone")
+@then("the upstream is removed")
 def step_gone(context):
     assert context.directory.status("e0") is None
 
@@ -417,7 +417,7 @@
 # Processes.
 
 
-@given("two gateways before 1 plain replica, the second without the store")
+@given("two gateways in front of 1 plain replica, the second without the store")
 def step_two_gateways(context):
     step_plain_gateway(context, 1)
     world = context.platform
@@ -425,12 +425,15 @@
     world.add_gateway(log_port=free_port(), seeds=seed)
 
 
-@then("the second serves requests as well")
+@then("the second gateway serves requests as well")
 def step_second_serves(context):
     assert context.platform.send(gateway=1).status == 200
 
 
-@then("within {seconds:d} seconds the second sends requests to the other service only")
+@then(
+    "within {seconds:d} seconds the second gateway sends requests to the other service "
+    "only"
+)
 def step_second_moved(context, seconds):
     world = context.platform
     other = world.replicas["o0"]
--- a/features/steps/log_return_steps.py
+++ b/features/steps/log_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a log service that returns from an older copy, in modelled time."""
+"""Steps for a log service restored from an older copy, in simulated time."""
 
 import base64
 import contextlib
@@ -35,15 +35,15 @@
 )
 from kumquatseam.upstreams import UpstreamDirectory, WeightsTargets
 
-DUTY = "d"
-DUTY_TOPIC = "kumquatseam.duty.d"
+LEASE = "d"
+LEASE_TOPIC = "kumquatseam.duty.d"
 STEP_S = 0.05
-#: records in a page of answers.
+#: records per page of a response.
 PAGE_RECORDS = 500
 
 
 class Contender:
-    """A router that contends for the duty."""
+    """A router that contends for the lease."""
 
     def __init__(self, world, number):
         self.world = world
@@ -56,17 +56,17 @@
         log = InMemoryLogService(self.world.store, self.faults)
         self.lease = DutyLease(
             log,
-            DUTY,
+            LEASE,
             f"r{self.number}",
             3.0,
             lambda: self.number,
             self.world.clock,
-            lambda fence: self.world.tell(self, fence),
+            lambda fence: self.world.broadcast(self, fence),
         )
 
 
-class DutyWorld:
-    """Routers, the log and what was seen of the duty."""
+class LeaseWorld:
+    """Routers, the log and a record of who held the lease when."""
 
     def __init__(self, count):
         self.clock = Clock()
@@ -79,10 +79,10 @@
         self.draw = random.Random(0)
         self.routers = [Contender(self, n) for n in range(count)]
 
-    def tell(self, teller, fence):
+    def broadcast(self, sender, fence):
         for router in self.routers:
-            # Half of what is told gets lost.
-            if router is not teller and self.draw.random() < 0.5:
+            # Half of the messages are lost.
+            if router is not sender and self.draw.random() < 0.5:
                 router.lease.note_other_holder(fence)
 
     def step(self):
@@ -106,27 +106,28 @@
             self.step()
 
 
-@given("{count:d} routers that contend for a duty with a lease of 3 seconds")
+@given("{count:d} routers that contend for a lease of 3 seconds")
 def step_contend(context, count):
-    context.duty = DutyWorld(count)
-    context.duty.run(5.0)
-    assert context.duty.tokens
+    context.leases = LeaseWorld(count)
+    context.leases.run(5.0)
+    assert context.leases.tokens
 
 
 @when(
-    "{for_s:d} seconds pass with returns of the log, cuts and restarts, seed {seed:d}"
+    "{for_s:d} seconds pass with restores of the log, network cuts and restarts, seed "
+    "{seed:d}"
 )
 def step_explore(context, for_s, seed):
-    world = context.duty
+    world = context.leases
     draw = world.draw = random.Random(seed)
     end_s = world.clock() + for_s
     kept = world.store.copy_topics()
     while world.clock() < end_s:
-        event = draw.choice(("copy", "return", "cut", "restart", "noise", "heal"))
+        event = draw.choice(("copy", "restore", "cut", "restart", "noise", "heal"))
         router = draw.choice(world.routers)
         if event == "copy":
             kept = world.store.copy_topics()
-        elif event == "return":
+        elif event == "restore":
             world.store.return_from(kept)
         elif event == "cut":
             router.faults.down = True
@@ -142,9 +143,9 @@
         world.run(draw.uniform(0.1, 4.0))
 
 
-@when("the log returns from a copy 2 seconds old while one of them holds it")
+@when("the log is restored from a copy 2 seconds old while one of them holds it")
 def step_return_held(context):
-    world = context.duty
+    world = context.leases
     world.run(2.0)
     kept = world.store.copy_topics()
     world.run(2.0)
@@ -155,41 +156,43 @@
     context.is_always_held = world.steps - steps == world.held_steps - held
 
 
-@then("the same router holds it all the time, with a higher token")
+@then("the same router holds it throughout, with a higher token")
 def step_same_holder(context):
-    number, token = context.duty.tokens[-1]
+    number, token = context.leases.tokens[-1]
     assert context.is_always_held
     assert number == context.before[0] and token > context.before[1]
     assert era_of(token) == era_of(context.before[1]) + 1
 
 
-@when("the log returns from a copy 2 seconds old and others append {count:d} records")
+@when(
+    "the log is restored from a copy 2 seconds old and others append {count:d} records"
+)
 def step_return_grown(context, count):
-    world = context.duty
+    world = context.leases
     kept = world.store.copy_topics()
     world.run(2.0)
     world.store.return_from(kept)
-    # Records of a router that is gone; what they hold cannot be read either.
+    # As of a router that no longer runs, with undecodable values.
     for _ in range(count):
-        world.store.append(DUTY_TOPIC, [b"x"])
+        world.store.append(LEASE_TOPIC, [b"x"])
     world.run(20.0)
 
 
-@then("no two routers ever held the duty at once")
+@then("no two routers ever held the lease at once")
 def step_one_holder(context):
-    assert not context.duty.two_at_once, context.duty.two_at_once[:5]
+    assert not context.leases.two_at_once, context.leases.two_at_once[:5]
 
 
-@then("each holder's token was above all tokens before")
+@then("each holder's token was above all earlier tokens")
 def step_tokens_rise(context):
-    tokens = [token for _, token in context.duty.tokens]
+    tokens = [token for _, token in context.leases.tokens]
     assert len(tokens) > 2
     assert tokens == sorted(set(tokens)), tokens
 
 
-@then("the duty was held for at least {share:g} of the time")
+@then("the lease was held for at least {share:g} of the time")
 def step_held_share(context, share):
-    world = context.duty
+    world = context.leases
     assert world.held_steps / world.steps >= share, world.held_steps / world.steps
 
 
@@ -219,7 +222,7 @@
     context.feed.instances[1].log.faults.down = True
 
 
-@when('the value "lost" is written, read by all and lost in a return from a copy')
+@when('the value "lost" is written, read by all and lost in a restore from a copy')
 def step_lost(context):
     world = context.feed
     kept = world.store.copy_topics()
@@ -231,7 +234,10 @@
     world.store.return_from(kept)
 
 
-@when('the value "new" is written under other keys until the end is past the old one')
+@when(
+    'the value "new" is written under other keys until the end offset is past the old '
+    "one"
+)
 def step_new(context):
     world = context.feed
     log = InMemoryLogService(world.store)
@@ -240,22 +246,22 @@
     _run_feed(world, 8.0)
 
 
-@then("all instances know exactly what the log holds")
-def step_know(context):
+@then("the copies of all instances equal the log")
+def step_equal(context):
     world = context.feed
     page = InMemoryLogService(world.store).newest(TOPIC)
     expected = {record.key: record.value for record in page.records}
     for instance in world.instances:
-        known = {k: v for k, v in instance.listener.values.items() if v}
-        assert known == expected, (instance.name, known, expected)
+        found = {k: v for k, v in instance.listener.values.items() if v}
+        assert found == expected, (instance.name, found, expected)
         assert instance.watch.copy.next_offset == page.end_offset
 
 
-# What listeners make of it.
+# Listeners.
 
 
-class Side:
-    """An instance that follows one topic by itself."""
+class SingleInstance:
+    """An instance that follows one topic without peers."""
 
     def __init__(self, topic, listener):
         self.clock = Clock()
@@ -280,37 +286,37 @@
 def step_in_force(context):
     context.live = LiveRouteTable()
     listener = OperatorListener(context.live, WeightsTargets())
-    side = context.side = Side("keyed.op", listener)
-    side.write("config", _configuration(4))
-    context.kept = side.store.copy_topics()
-    side.write("config", _configuration(7))
-    side.read()
+    instance = context.instance = SingleInstance("keyed.op", listener)
+    instance.write("config", _configuration(4))
+    context.kept = instance.store.copy_topics()
+    instance.write("config", _configuration(7))
+    instance.read()
     assert context.live.current.version == 7
 
 
-@when("the log returns from a copy that holds configuration 4")
+@when("the log is restored from a copy that holds configuration 4")
 def step_return_old(context):
-    context.side.store.return_from(context.kept)
-    context.side.read()
+    context.instance.store.return_from(context.kept)
+    context.instance.read()
 
 
-@then("configuration 7 stays in force, and others are told configuration 7")
+@then("configuration 7 stays in force, and others receive configuration 7")
 def step_stays(context):
     assert context.live.current.version == 7
-    (change,) = context.side.copy.snapshot().changes
+    (change,) = context.instance.copy.snapshot().changes
     assert change.value == _configuration(7), change
 
 
 @when("configuration 9 is written")
 def step_written(context):
-    context.side.write("config", _configuration(9))
-    context.side.read()
+    context.instance.write("config", _configuration(9))
+    context.instance.read()
 
 
 @then("configuration 9 is in force")
 def step_nine(context):
     assert context.live.current.version == 9
-    (change,) = context.side.copy.snapshot().changes
+    (change,) = context.instance.copy.snapshot().changes
     assert change.value == _configuration(9), change
 
 
@@ -320,98 +326,100 @@
 )
 
 
-@given("an instance that knows an upstream from the log")
+@given("an instance that read an upstream from the log")
 def step_upstream(context):
     directory = UpstreamDirectory(Clock())
-    side = context.side = Side("keyed.servers", UpstreamListener(directory))
-    directory._clock = side.clock
+    instance = context.instance = SingleInstance(
+        "keyed.servers", UpstreamListener(directory)
+    )
+    directory._clock = instance.clock
     context.directory = directory
-    context.kept = side.store.copy_topics()
-    side.write("u1", ENTRY)
-    side.read()
+    context.kept = instance.store.copy_topics()
+    instance.write("u1", ENTRY)
+    instance.read()
     assert len(directory.all()) == 1
 
 
-@when("the log returns from a copy without its entry")
-@when("the log returns from a copy without its record")
+@when("the log is restored from a copy without its entry")
+@when("the log is restored from a copy without its record")
 def step_return_without(context):
-    context.side.store.return_from(context.kept)
-    context.side.read()
+    context.instance.store.return_from(context.kept)
+    context.instance.read()
 
 
-@then("the upstream whose entry is lost still takes work")
+@then("the upstream whose entry is lost still accepts requests")
 def step_still(context):
     (status,) = context.directory.all()
     assert not status.upstream.is_leaving
 
 
-@when("its entry does not come back within 3 seconds")
+@when("its entry is not written again within 3 seconds")
 def step_not_back(context):
-    context.side.clock.now_s += 3.0
+    context.instance.clock.now_s += 3.0
     context.directory.sweep()
 
 
-@then("the upstream whose entry is lost is gone")
+@then("the upstream whose entry is lost is removed")
 def step_gone(context):
     assert not context.directory.all()
 
 
-@given("an instance that knows a suspected request from the log")
+@given("an instance that read a suspected request from the log")
 def step_suspect(context):
     quarantine = single_instance_quarantine()
-    side = context.side = Side(SUSPECTS_TOPIC, quarantine.suspects)
+    instance = context.instance = SingleInstance(SUSPECTS_TOPIC, quarantine.suspects)
     context.suspects = quarantine.suspects
-    context.kept = side.store.copy_topics()
+    context.kept = instance.store.copy_topics()
     record = RECORD_CODEC.encode(CrashRecord(Crashes(("e1", "e2", "e3"))))
-    side.write("f1", record)
-    side.read()
+    instance.write("f1", record)
+    instance.read()
     assert not context.suspects.unwritten()
 
 
-@then("the request is still suspected and has to be written again")
+@then("the request is still suspected and its record has to be written again")
 def step_suspected(context):
     assert context.suspects.is_suspected("f1")
     assert context.suspects.unwritten() == ["f1"]
 
 
-class OneBus:
+class SingleInstanceBus:
     """A bus of one instance."""
 
     def add(self, record):
         pass
 
     def remove(self, name):
-        raise AssertionError(f"{name} was forgotten")
+        raise AssertionError(f"{name} was removed from the bus")
 
 
 @given("an instance that is registered in the log")
 def step_registered(context):
     record = InstanceRecord("me", "10.0.0.9:1")
-    side = context.side = Side(INSTANCES_TOPIC, None)
-    context.registry = InstanceRegistry(side.log, OneBus(), record)
-    side.copy = TopicCopy(context.registry, side.clock)
-    context.kept = side.store.copy_topics()
+    instance = context.instance = SingleInstance(INSTANCES_TOPIC, None)
+    context.registry = InstanceRegistry(instance.log, SingleInstanceBus(), record)
+    instance.copy = TopicCopy(context.registry, instance.clock)
+    context.kept = instance.store.copy_topics()
     context.registry.start()
     gevent.sleep(0.01)
-    side.read()
-    assert side.copy.snapshot().changes
+    instance.read()
+    assert instance.copy.snapshot().changes
 
 
 @then("its record is in the log again")
 def step_again(context):
     gevent.sleep(0.01)
     context.registry.close()
-    page = context.side.log.newest(INSTANCES_TOPIC)
+    page = context.instance.log.newest(INSTANCES_TOPIC)
     assert [record.key for record in page.records] == ["me"]
 
 
-# The client.
+# The client of the log service.
 
 
-class PagedAnswers(HttpLogService):
-    """Answers as the log service does, a page at a time.
+class PagedResponses(HttpLogService):
+    """Responds as the log service does, one page at a time.
 
-    :param store: the records.
+    :param store: holds the records.
     :param after_page: called after the first page.
     """
 
@@ -443,7 +451,9 @@
         return urllib3.HTTPResponse(json.dumps(page).encode(), era)
 
 
-@given("a log service holding {count:d} records that returns from a copy between pages")
+@given(
+    "a log service holding {count:d} records that is restored from a copy between pages"
+)
 def step_two_pages(context, count):
     store = LogStore(LogStoreLimits(appends_per_s=10_000))
     log = InMemoryLogService(store)
@@ -452,10 +462,10 @@
     kept = store.copy_topics()
     for number in range(count):
         log.append_keyed(TOPIC, f"k{number:04}", b"lost")
-    context.log = PagedAnswers(store, lambda: store.return_from(kept))
+    context.log = PagedResponses(store, lambda: store.return_from(kept))
 
 
-@then("what is read is what the copy holds, {count:d} records")
+@then("the result is the content of the copy, {count:d} records")
 def step_copy_read(context, count):
     page = context.log.newest(TOPIC)
     assert len(page.records) == count, len(page.records)
@@ -463,11 +473,11 @@
     assert era_of(page.end_offset) == 1
 
 
-@given('a log service that names the era "{text}"')
+@given('a log service that responds with the era "{text}"')
 def step_bad_era(context, text):
     store = LogStore(LogStoreLimits())
     store.era = text
-    context.log = PagedAnswers(store)
+    context.log = PagedResponses(store)
 
 
 @then('a read fails with "{words}"')
--- a/src/kumquatseam/cachefeeds/__init__.py
+++ b/src/kumquatseam/cachefeeds/__init__.py
@@ -1,12 +1,12 @@
-"""Following what engines and stores keep, by what they say themselves.
+"""Following the KV cache contents that engines and stores report.
 
-Traffic tells what engines were given to read, not what they dropped since, and
-a process that starts knows no traffic at all. Each engine and store tells its
-cache events to whoever asks, but only to a few at a time. So one instance asks
-each of them and tells the others.
+Request traffic shows which prompts engines prefilled, not what they evicted since,
+and a process that starts has seen no traffic. Every engine and store, called a
+holder here, can be polled for its cache events, but only by a few clients at a
+time. So one instance polls each holder and broadcasts its events to the others.
 
-- :class:`CacheFeeds` chooses whom this instance asks, and takes in what others
-  tell.
+- :class:`CacheFeeds` decides which holders this instance polls, and applies the
+  updates of other instances.
 - :class:`CacheClient` is the interface to a platform's engines and stores.
 """
 
@@ -19,10 +19,10 @@
 from kumquatseam.cachefeeds._feeds import MIN_SENT_PART_SHARE, CacheFeeds
 from kumquatseam.cachefeeds._messages import (
     QUERY_KINDS,
-    IndexAnswer,
-    IndexQuestion,
+    IndexQuery,
+    IndexReply,
 )
-from kumquatseam.cachefeeds._reader import HolderReader
+from kumquatseam.cachefeeds._poller import HolderPoller
 from kumquatseam.cachefeeds._warm_start import WarmStart
 
 __all__ = [
@@ -31,10 +31,10 @@
     "CacheHolder",
     "CacheListing",
     "CachePage",
-    "HolderReader",
+    "HolderPoller",
     "MIN_SENT_PART_SHARE",
-    "IndexAnswer",
-    "IndexQuestion",
+    "IndexReply",
+    "IndexQuery",
     "QUERY_KINDS",
     "WarmStart",
 ]
--- a/src/kumquatseam/cachefeeds/_client.py
+++ b/src/kumquatseam/cachefeeds/_client.py
@@ -1,4 +1,4 @@
-"""The interface to what engines and stores say that they keep."""
+"""The interface to the cache reports of engines and stores."""
 
 import abc
 
@@ -9,9 +9,10 @@
 
 @attrs.frozen
 class CacheHolder:
-    """An engine or a store that can be asked.
+    """An engine or a store that reports its cache contents.
 
-    :param holder: its name in the index: an incarnation, or a store's address.
+    :param holder: its name in the index: the id of an engine's incarnation, or a
+        store's address.
     :param address: ``host:port``.
     :param upstream_id: the engine's id; ``""`` for a store.
     :param born_ms: when the engine started, as in
@@ -26,12 +27,12 @@
 
 @attrs.frozen
 class CacheListing:
-    """Everything that a holder keeps.
+    """The full cache contents of a holder.
 
-    :param epoch: changes whenever the holder restarts.
+    :param epoch: changes with each restart of the holder.
     :param next_number: the number of its next event.
-    :param parts: what it keeps.
-    :param born_ms: when it started; 0 if it does not say.
+    :param parts: the prompt parts in its cache.
+    :param born_ms: when it started; 0 if not reported.
     """
 
     epoch: int
@@ -42,29 +43,31 @@
 
 @attrs.frozen
 class CachePage(CacheListing):
-    """What changed at a holder since an event.
+    """Changes in a holder's cache since a given event.
 
-    :param has_gap: events in between are no longer known.
+    ``parts`` are the changed ones; 0 tokens mean an eviction.
+
+    :param has_gap: the holder no longer has all events since then.
     """
 
     has_gap: bool = False
 
 
 class CacheClient(abc.ABC):
-    """Asks engines and stores what they keep."""
+    """Queries engines and stores for their cache contents."""
 
     @abc.abstractmethod
     def list_parts(self, holder: CacheHolder) -> CacheListing | None:
-        """Return everything a holder keeps; ``None`` if it does not say.
+        """Return a holder's full cache contents; ``None`` if it does not answer.
 
-        An engine stops its work for it, so ask seldom.
+        An engine pauses its work to list them, so call this rarely.
         """
 
     @abc.abstractmethod
     def read_events(
         self, holder: CacheHolder, since: int, wait_s: float
     ) -> CachePage | None:
-        """Return what changed since event ``since``; ``None`` if nobody says.
+        """Return the changes since event ``since``; ``None`` without an answer.
 
-        :param wait_s: how long to wait if nothing has changed yet.
+        :param wait_s: how long to wait for a change (long polling).
         """
--- a/src/kumquatseam/cachefeeds/_feeds.py
+++ b/src/kumquatseam/cachefeeds/_feeds.py
@@ -1,4 +1,4 @@
-"""Whom this instance asks what it keeps, and what others tell of the rest."""
+"""Which holders this instance polls, and updates from others about the rest."""
 
 import collections
 import time
@@ -8,44 +8,45 @@
 import xxhash
 
 from kumquatseam.cachefeeds._client import CacheClient, CacheHolder
-from kumquatseam.cachefeeds._messages import IndexAnswer, IndexQuestion
-from kumquatseam.cachefeeds._reader import HolderReader
+from kumquatseam.cachefeeds._messages import IndexQuery, IndexReply
+from kumquatseam.cachefeeds._poller import HolderPoller
 from kumquatseam.logs import part_logger
 from kumquatseam.peers import HeldNews
 from kumquatseam.prompts import HeldPart, HolderUpdate, PromptIndex
 
 _log = part_logger("cache")
 
-#: a holder nobody told of for this long has no reader any more; a reader asks
+#: a holder without updates for this long has no polling instance any more; one polls
 #: at least every 1.3 s.
-FRESH_S = 3.0
-#: seconds that the next instances in order wait one after the other, so that
-#: one of them begins and the others hear of it.
+POLLER_TIMEOUT_S = 3.0
+#: additional delay per place in the order, so that one instance starts to poll and
+#: its updates reach the others first.
 STEP_S = 0.7
-#: parts shorter than this share of an engine's memory are not told: reading them
-#: again costs less than telling all instances.
+#: parts shorter than this share of an engine's memory are not broadcast: prefilling
+#: them again costs less than notifying all instances.
 MIN_SENT_PART_SHARE = 1 / 512
-#: updates told in one summary at most.
-MAX_TOLD_UPDATES = 16
-#: updates remembered for being told; a summary goes out long before.
-MAX_FRESH = 256
+#: maximum number of updates in one broadcast.
+MAX_UPDATES_PER_BROADCAST = 16
+#: maximum number of unsent updates; broadcasts go out long before it is reached.
+MAX_UNSENT = 256
 
 
 class CacheFeeds(HeldNews):
-    """Keeps the index in step with what holders say.
+    """Keeps the index up to date with the reports of holders.
 
-    :param client: asks holders.
-    :param index: takes in what they keep.
+    :param client: queries holders.
+    :param index: the index of their cache contents.
     :param name: this instance.
     :param list_holders: returns every engine and store in use.
     :param list_instances: returns the names of the instances that are not known
         to be away, this one included; empty while that is not known yet.
-    :param min_tokens: returns the length from which on parts are told.
+    :param min_tokens: returns the length from which on parts of a full listing are
+        sent to others.
     :param clock: monotonic clock in seconds.
-    :param build_reader: builds what asks one holder.
-    :param list_tracked: returns the holders that this instance tracks for all
-        others in a large fleet, and asks alone; ``None`` in a small one, where
-        everyone is told what holders keep.
+    :param build_poller: builds the poller of one holder.
+    :param list_tracked: returns the holders that this instance tracks, and polls
+        as the only one, in a large fleet; ``None`` in a small one, where all
+        instances receive the contents of all holders.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         list_instances: Callable[[], Sequence[str]],
         min_tokens: Callable[[], float] = lambda: 0,
         clock: Callable[[], float] = time.monotonic,
-        build_reader: Callable[..., HolderReader] = HolderReader,
+        build_poller: Callable[..., HolderPoller] = HolderPoller,
         list_tracked: Callable[[], Collection[str] | None] = lambda: None,
     ) -> None:
         self._list_tracked = list_tracked
@@ -68,67 +69,67 @@
         self._list_instances = list_instances
         self._min_tokens = min_tokens
         self._clock = clock
-        self._build_reader = build_reader
-        self._readers: dict[str, HolderReader] = {}
+        self._build_poller = build_poller
+        self._pollers: dict[str, HolderPoller] = {}
         self._known: dict[str, HolderUpdate] = {}
-        self._heard_s: dict[str, float] = {}
-        self._fresh: collections.deque[HolderUpdate] = collections.deque(
-            maxlen=MAX_FRESH
+        self._last_update_s: dict[str, float] = {}
+        self._unsent: collections.deque[HolderUpdate] = collections.deque(
+            maxlen=MAX_UNSENT
         )
 
     @property
-    def asked_holders(self) -> set[str]:
-        """The holders that this instance asks."""
-        return set(self._readers)
+    def polled_holders(self) -> set[str]:
+        """The holders that this instance polls."""
+        return set(self._pollers)
 
     def start(self) -> None:
-        """Readers begin with :meth:`step`."""
+        """Do nothing; polling starts with :meth:`step`."""
 
     def close(self) -> None:
-        """Stop asking."""
-        for reader in self._readers.values():
-            reader.close()
-        self._readers.clear()
+        """Stop polling."""
+        for poller in self._pollers.values():
+            poller.close()
+        self._pollers.clear()
 
     def step(self) -> None:
-        """Begin to ask holders that nobody else asks, and stop with others."""
+        """Poll holders that no other instance polls, and stop polling the rest."""
         holders = {holder.holder: holder for holder in self._list_holders()}
-        for name in set(self._readers) - set(holders):
-            self._readers.pop(name).close()
+        for name in set(self._pollers) - set(holders):
+            self._pollers.pop(name).close()
         for name in set(self._known) - set(holders):
             del self._known[name]
-            self._heard_s.pop(name, None)
+            self._last_update_s.pop(name, None)
         tracked = self._list_tracked()
         if tracked is not None:
-            self._follow_only(holders, tracked)
+            self._poll_tracked(holders, tracked)
             return
         for name, holder in holders.items():
-            self._choose(name, holder)
+            self._update_poller(name, holder)
 
-    def _follow_only(
+    def _poll_tracked(
         self, holders: Mapping[str, CacheHolder], tracked: Collection[str]
     ) -> None:
-        """Ask the holders that are tracked here, and forget all others.
+        """Poll the holders tracked here, and remove all others from the index.
 
-        What an instance keeps is bounded by its share of the holders then. One
-        that comes back to it is listed anew, since events alone do not say what
-        was kept before.
+        The index is then bounded by this instance's share of the holders. A holder
+        assigned here again is listed again, since its events do not contain what it
+        held before.
         """
-        for name in set(self._readers) - set(tracked):
-            self._readers.pop(name).close()
+        for name in set(self._pollers) - set(tracked):
+            self._pollers.pop(name).close()
             self._known.pop(name, None)
             self._index.forget(name)
-        for name in set(tracked) & set(holders) - set(self._readers):
-            self._begin_to_ask(name, holders[name])
+        for name in set(tracked) & set(holders) - set(self._pollers):
+            self._start_polling(name, holders[name])
 
     def take_fresh(self) -> list[HolderUpdate]:
-        """Return updates that the other instances were not yet told of."""
-        count = min(MAX_TOLD_UPDATES, len(self._fresh))
-        return [self._fresh.popleft() for _ in range(count)]
+        """Return and remove updates not yet sent to the other instances."""
+        count = min(MAX_UPDATES_PER_BROADCAST, len(self._unsent))
+        return [self._unsent.popleft() for _ in range(count)]
 
     def take_update(self, update: HolderUpdate) -> None:
-        """Take in what another instance was told by a holder."""
-        self._heard_s[update.holder] = self._clock()
+        """Apply an update that another instance received from a holder."""
+        self._last_update_s[update.holder] = self._clock()
         known = self._known.get(update.holder)
         is_same_epoch = known is not None and known.epoch == update.epoch
         if is_same_epoch and update.next_number < known.next_number:
@@ -136,32 +137,35 @@
         self._known[update.holder] = attrs.evolve(update, parts=())
         self._index.apply_holder_report(update.holder, update.parts, update.is_whole)
 
-    def answer(self, question: IndexQuestion) -> IndexAnswer:
-        """Return all that is known, for an instance that starts."""
-        return IndexAnswer(
+    def answer(self, query: IndexQuery) -> IndexReply:
+        """Return the index for an instance that starts."""
+        return IndexReply(
             tuple(
                 HolderUpdate(
                     name,
                     update.epoch,
                     update.next_number,
-                    self._worth_telling(self._index.held_parts(name), True),
+                    self._useful_to_peers(self._index.held_parts(name), True),
                     is_whole=True,
                 )
                 for name, update in self._known.items()
             )
         )
 
-    def take_answer(self, answer: IndexAnswer) -> None:
-        """Take in what another instance knows."""
-        for update in answer.holders:
+    def apply_reply(self, reply: IndexReply) -> None:
+        """Add the holders that only the other instance knows."""
+        for update in reply.holders:
             if update.holder not in self._known:
                 self.take_update(update)
-        _log.bind(holders=len(answer.holders)).info(
-            "Learnt what holders keep from another instance."
+        _log.bind(holders=len(reply.holders)).info(
+            "Loaded the index of cache contents from another instance."
         )
 
-    def _choose(self, name: str, holder: CacheHolder) -> None:
-        """Ask a holder if no instance before this one in its order does."""
+    def _update_poller(self, name: str, holder: CacheHolder) -> None:
+        """Poll a holder if no instance that precedes this one does.
+
+        Each holder has its own order of instances, by rendezvous hashing.
+        """
         instances = sorted(
             self._list_instances(),
             key=lambda other: xxhash.xxh3_64_intdigest(f"{name}|{other}".encode()),
@@ -169,46 +173,52 @@
         if self._name not in instances:
             return
         place = instances.index(self._name)
-        reader = self._readers.get(name)
-        if reader is not None:
-            if place and self._clock() - self._heard_s.get(name, 0.0) < FRESH_S:
-                self._readers.pop(name).close()
+        poller = self._pollers.get(name)
+        if poller is not None:
+            if (
+                place
+                and self._clock() - self._last_update_s.get(name, 0.0)
+                < POLLER_TIMEOUT_S
+            ):
+                self._pollers.pop(name).close()
             return
-        quiet_since_s = self._heard_s.setdefault(name, self._clock() - FRESH_S)
-        if place and self._clock() - quiet_since_s < FRESH_S + place * STEP_S:
+        last_update_s = self._last_update_s.setdefault(
+            name, self._clock() - POLLER_TIMEOUT_S
+        )
+        if place and self._clock() - last_update_s < POLLER_TIMEOUT_S + place * STEP_S:
             return
-        self._begin_to_ask(name, holder)
+        self._start_polling(name, holder)
 
-    def _begin_to_ask(self, name: str, holder: CacheHolder) -> None:
+    def _start_polling(self, name: str, holder: CacheHolder) -> None:
         resume = self._known.get(name)
-        reader = self._build_reader(holder, self._client, self._take_own, resume)
-        self._readers[name] = reader
-        reader.start()
+        poller = self._build_poller(holder, self._client, self._apply_own, resume)
+        self._pollers[name] = poller
+        poller.start()
 
-    def _take_own(self, update: HolderUpdate) -> None:
-        """Take in what a holder told this instance, and tell the others."""
+    def _apply_own(self, update: HolderUpdate) -> None:
+        """Apply a report that this instance polled, and queue it for the others."""
         self._known[update.holder] = attrs.evolve(update, parts=())
-        parts = self._worth_telling(update.parts, update.is_whole)
+        parts = self._useful_to_peers(update.parts, update.is_whole)
         self._index.apply_holder_report(update.holder, update.parts, update.is_whole)
-        self._fresh.append(
+        self._unsent.append(
             HolderUpdate(
                 update.holder, update.epoch, update.next_number, parts, update.is_whole
             )
         )
 
-    def _worth_telling(
+    def _useful_to_peers(
         self, parts: Sequence[HeldPart], is_whole: bool
     ) -> tuple[HeldPart, ...]:
-        """Return the parts that others may ask for again.
+        """Return the parts that requests of other instances may share.
 
-        The last part of a prompt is one request's own; only parts that traffic
-        showed to be shared are told, and of a whole listing, which may be all
-        there is to know, every long one.
+        The last part of a prompt belongs to a single request. So only parts seen as
+        shared in traffic are sent, and from a full listing every long part, because
+        the listing may be all that the receiver knows.
         """
-        least = self._min_tokens()
+        min_tokens = self._min_tokens()
         return tuple(
             part
             for part in parts
-            if (is_whole and part.tokens >= least)
+            if (is_whole and part.tokens >= min_tokens)
             or (not is_whole and self._index.is_held(part.salt, part.part_id))
         )
--- a/src/kumquatseam/cachefeeds/_messages.py
+++ b/src/kumquatseam/cachefeeds/_messages.py
@@ -1,4 +1,4 @@
-"""What instances ask each other about what holders keep."""
+"""Messages between instances about the cache contents of holders."""
 
 import attrs
 
@@ -6,24 +6,24 @@
 
 
 @attrs.frozen
-class IndexQuestion:
-    """Asks an instance for all it knows of what holders keep.
+class IndexQuery:
+    """Query for an instance's index of holders' cache contents.
 
-    :param asker: the instance that asks.
+    :param asker: the name of the querying instance.
     """
 
     asker: str
 
 
 @attrs.frozen
-class IndexAnswer:
-    """All that an instance knows of what holders keep.
+class IndexReply:
+    """Reply with an instance's index of holders' cache contents.
 
-    :param holders: each holder whole.
+    :param holders: one full update per holder.
     """
 
     holders: tuple[HolderUpdate, ...] = ()
 
 
-#: the classes of this module, by name on the wire.
-QUERY_KINDS = {"index_question": IndexQuestion, "index_answer": IndexAnswer}
+#: queries and replies by their kind on the wire.
+QUERY_KINDS = {"index_question": IndexQuery, "index_answer": IndexReply}
--- a/src/kumquatseam/cachefeeds/_reader.py
+++ b/src/kumquatseam/cachefeeds/_poller.py
@@ -1,4 +1,4 @@
-"""Asking one holder what it keeps, again and again."""
+"""Polling one holder for changes of its cache contents."""
 
 from collections.abc import Callable
 
@@ -11,27 +11,27 @@
 
 _log = part_logger("cache")
 
-#: how long one question waits for something new; the platform allows a second,
-#: and prices questions that wait less than a fifth of one.
+#: how long one poll waits for a change; the platform allows at most a second, and
+#: charges for polls that wait less than a fifth of one.
 WAIT_S = 0.9
-#: pause between two questions. Engines' events lag by a tenth of a second, and
-#: what is new in half a second is at most a tenth of an engine's memory.
+#: pause between two polls. Engines' events lag by a tenth of a second anyway, and at
+#: most a tenth of an engine's memory changes in half a second.
 PAUSE_S = 0.4
-#: pause after a question that nobody answered.
+#: pause after a poll without an answer, doubling up to the second value.
 FAILURE_PAUSE_S = 0.5
 MAX_FAILURE_PAUSE_S = 4.0
-#: listings stop an engine's work for a moment, so gaps in a row wait for one.
+#: minimum interval between full listings, which pause an engine's work for a moment.
 LIST_PAUSE_S = 3.0
 
 
-class HolderReader(BackgroundTask):
+class HolderPoller(BackgroundTask):
     """Follows one holder's cache events.
 
     :param holder: the holder.
-    :param client: asks it.
-    :param publish: called with each update, also with empty ones.
-    :param resume: the last update known of it, to go on from.
-    :param sleep: waits; replaced in tests.
+    :param client: queries the holder.
+    :param publish: called with each update, including empty ones.
+    :param resume: the last known update of the holder, from which to continue.
+    :param sleep: replaces ``gevent.sleep`` in tests.
     """
 
     def __init__(
@@ -55,62 +55,68 @@
         while True:
             try:
                 pause_s = self.step()
-            except Exception:  # noqa: BLE001 - logged; nobody else would notice
-                _log.bind(holder=self._holder.holder).exception("A step failed.")
+            except Exception:  # noqa: BLE001 - logged, since no caller would see it
+                _log.bind(holder=self._holder.holder).exception(
+                    "Polling a holder failed unexpectedly."
+                )
                 pause_s = MAX_FAILURE_PAUSE_S
             self._sleep(pause_s)
 
     def step(self) -> float:
-        """Ask once; return how long to pause before the next question."""
+        """Poll once; return the pause before the next poll."""
         if self._since is None:
             return self._list()
         page = self._client.read_events(self._holder, self._since, WAIT_S)
         if page is None:
             return self._note_failure()
         self._failures = 0
-        if page.has_gap or page.epoch != self._epoch or self._is_other(page):
+        if (
+            page.has_gap
+            or page.epoch != self._epoch
+            or self._is_other_incarnation(page)
+        ):
             _log.bind(
                 holder=self._holder.holder,
                 epoch=page.epoch,
                 known_epoch=self._epoch,
                 has_gap=page.has_gap,
-            ).info("Events of a holder are missing.")
+            ).info("Events of a holder are missing; listing its cache contents.")
             self._since = None
             return 0.0
-        self._take(page, is_whole=False)
+        self._apply(page, is_whole=False)
         return PAUSE_S
 
     def _list(self) -> float:
         listing = self._client.list_parts(self._holder)
-        if listing is None or self._is_other(listing):
+        if listing is None or self._is_other_incarnation(listing):
             return self._note_failure()
         self._failures = 0
         self._epoch = listing.epoch
-        self._take(listing, is_whole=True)
+        self._apply(listing, is_whole=True)
         _log.bind(
             holder=self._holder.holder,
             epoch=listing.epoch,
             parts=len(listing.parts),
             tokens=sum(part.tokens for part in listing.parts),
-        ).info("A holder listed what it keeps.")
+        ).info("A holder listed its cache contents.")
         return PAUSE_S
 
-    def _take(self, found: CacheListing, is_whole: bool) -> None:
-        self._since = found.next_number
+    def _apply(self, report: CacheListing, is_whole: bool) -> None:
+        self._since = report.next_number
         self._publish(
             HolderUpdate(
                 self._holder.holder,
-                found.epoch,
-                found.next_number,
-                found.parts,
+                report.epoch,
+                report.next_number,
+                report.parts,
                 is_whole,
             )
         )
 
-    def _is_other(self, found: CacheListing) -> bool:
-        """Return whether another incarnation than the one expected answered."""
+    def _is_other_incarnation(self, report: CacheListing) -> bool:
+        """Return whether an unexpected incarnation of the engine answered."""
         born_ms = self._holder.born_ms
-        return bool(born_ms) and found.born_ms not in (0, born_ms)
+        return bool(born_ms) and report.born_ms not in (0, born_ms)
 
     def _note_failure(self) -> float:
         self._failures += 1
--- a/src/kumquatseam/cachefeeds/_warm_start.py
+++ b/src/kumquatseam/cachefeeds/_warm_start.py
@@ -1,58 +1,58 @@
-"""Learning what holders keep when this process starts."""
+"""Loading the index of cache contents from a peer at start."""
 
 from collections.abc import Callable
 
 import gevent
 
 from kumquatseam.cachefeeds._feeds import CacheFeeds
-from kumquatseam.cachefeeds._messages import IndexAnswer, IndexQuestion
+from kumquatseam.cachefeeds._messages import IndexQuery, IndexReply
 from kumquatseam.logs import part_logger
 from kumquatseam.loops import BackgroundTask
 from kumquatseam.peers import Questions
 
 _log = part_logger("cache")
 
-#: seconds after the start at which others are asked, until one knows something.
-#: The first is when they have been found in the log; where all have just
-#: started, those that ask the engines tell the others within the last.
-ASK_AT_S = (0.3, 0.8, 2.0)
+#: times after the start at which peers are queried, until one has an index. At the
+#: first, the list of peers has been read from the log; if all instances have just
+#: started, those that poll the engines broadcast their contents before the last.
+QUERY_AT_S = (0.3, 0.8, 2.0)
 
 
 class WarmStart(BackgroundTask):
-    """Asks another instance for its index, so that no start is cold.
+    """Queries other instances for their index, to avoid a cold start.
 
-    :param feeds: takes the answer in.
-    :param questions: asks the others.
+    :param feeds: applies the reply.
+    :param queries: sends queries to other instances.
     :param name: this instance.
-    :param is_needed: whether this instance needs to know of every holder.
+    :param is_needed: whether this instance needs the contents of all holders.
     """
 
     def __init__(
         self,
         feeds: CacheFeeds,
-        questions: Questions,
+        queries: Questions,
         name: str,
         is_needed: Callable[[], bool] = lambda: True,
     ) -> None:
         super().__init__()
         self._feeds = feeds
-        self._questions = questions
+        self._queries = queries
         self._name = name
         self._is_needed = is_needed
-        questions.on_question(IndexQuestion, feeds.answer)
+        queries.on_question(IndexQuery, feeds.answer)
 
     def _run(self) -> None:
         waited_s = 0.0
-        for at_s in ASK_AT_S:
+        for at_s in QUERY_AT_S:
             gevent.sleep(at_s - waited_s)
             waited_s = at_s
             if not self._is_needed():
                 continue
-            answer = self._questions.ask_any(
-                IndexQuestion(self._name),
-                lambda found: isinstance(found, IndexAnswer) and bool(found.holders),
+            reply = self._queries.ask_any(
+                IndexQuery(self._name),
+                lambda found: isinstance(found, IndexReply) and bool(found.holders),
             )
-            if answer is not None:
-                self._feeds.take_answer(answer)
+            if reply is not None:
+                self._feeds.apply_reply(reply)
                 return
-        _log.info("No other instance knows what holders keep.")
+        _log.info("No other instance has an index of cache contents.")
--- a/src/kumquatseam/feeds/__init__.py
+++ b/src/kumquatseam/feeds/__init__.py
@@ -1,35 +1,35 @@
-"""Following topics of the log together with the other instances.
+"""Following keyed topics of the log service together with the other instances.
 
-A few instances read a topic and tell the others what is new; everyone keeps a
-whole copy and reads the log itself when it hears nothing, missed something or
-cannot tell how old its copy is. An instance that cannot reach the log at all
-takes a copy from another one.
+One instance reads a topic and broadcasts the changes. Every instance keeps a full
+copy, and reads the log itself if it receives no updates, missed one or cannot tell
+how old its copy is. An instance that cannot reach the log fetches a copy from a
+peer.
 
-- :class:`TopicFeeds` follows topics and answers other instances.
-- :class:`ReadPace` says how often a topic is read.
-- :class:`TopicUpdate` is what instances tell each other.
+- :class:`TopicFeeds` follows topics and answers queries of other instances.
+- :class:`ReadPace` sets how often a topic is read.
+- :class:`TopicUpdate` is the broadcast of changes.
 """
 
 from kumquatseam.feeds._copy import TopicCopy
 from kumquatseam.feeds._feeds import TopicFeeds
 from kumquatseam.feeds._messages import (
     QUERY_KINDS,
-    TopicAnswer,
-    TopicQuestion,
+    TopicQuery,
+    TopicReply,
     TopicUpdate,
 )
-from kumquatseam.feeds._reader_choice import ReaderChoice
-from kumquatseam.feeds._shared_watch import FeedPeers, ReadPace, SharedWatch
+from kumquatseam.feeds._reader_election import ReaderElection
+from kumquatseam.feeds._topic_follower import FeedPeers, ReadPace, TopicFollower
 
 __all__ = [
     "QUERY_KINDS",
     "FeedPeers",
     "ReadPace",
-    "ReaderChoice",
-    "SharedWatch",
-    "TopicAnswer",
+    "ReaderElection",
+    "TopicFollower",
+    "TopicReply",
     "TopicCopy",
     "TopicFeeds",
-    "TopicQuestion",
+    "TopicQuery",
     "TopicUpdate",
 ]
--- a/src/kumquatseam/feeds/_copy.py
+++ b/src/kumquatseam/feeds/_copy.py
@@ -1,4 +1,4 @@
-"""This process's copy of a keyed topic."""
+"""This instance's copy of a keyed topic."""
 
 from collections.abc import Callable
 
@@ -16,9 +16,9 @@
     """The values of a keyed topic, up to an offset.
 
     Batches may come from the log and from several other instances; each record
-    is taken in once.
+    is applied once.
 
-    :param listener: is given every value once.
+    :param listener: called once for every changed value.
     :param clock: seconds that also pass while the machine is suspended.
     """
 
@@ -32,68 +32,69 @@
         self.synced_s: float | None = None
 
     def age_s(self) -> float:
-        """Return how long ago the copy was known to be complete."""
+        """Return the time since the copy was last known to be complete."""
         if self.synced_s is None:
             return float("inf")
         return self._clock() - self.synced_s
 
-    def forget_offset(self) -> None:
-        """Take the next whole batch whatever its end: the log began anew."""
+    def reset_offset(self) -> None:
+        """Accept a batch with a lower end offset next: the log was reset."""
         self.next_offset = None
 
-    def whole(self) -> KeyedBatch | None:
-        """Return everything it holds; ``None`` before the first read."""
+    def snapshot(self) -> KeyedBatch | None:
+        """Return all values as a full batch; ``None`` before the first read."""
         if self.next_offset is None:
             return None
         changes = (KeyedChange(0, key, value) for key, value in self._values.items())
         return KeyedBatch(0, self.next_offset, tuple(changes), is_whole=True)
 
-    def follows(self, batch: KeyedBatch) -> bool:
-        """Return whether nothing is missing between this copy and ``batch``."""
+    def can_apply(self, batch: KeyedBatch) -> bool:
+        """Return whether no record is missing between this copy and ``batch``."""
         if batch.is_whole:
             return True
         if self.next_offset is None:
             return False
         if self._is_restored(batch):
-            # What is new was told to those who had known exactly as much.
+            # After a restore, an update fits only copies at the offset it starts from.
             return batch.from_offset == self.next_offset
         return batch.from_offset <= self.next_offset
 
-    def take(
+    def apply(
         self,
         batch: KeyedBatch,
         outage_age_s: float | None = None,
         age_s: float = 0.0,
         unseen_s: float = 0.0,
     ) -> tuple[KeyedChange, ...]:
-        """Take in a batch that follows.
+        """Apply a batch for which :meth:`can_apply` holds.
 
-        :param outage_age_s: how long ago the log was last out of reach.
+        :param outage_age_s: how long ago the log was last unreachable.
         :param age_s: how long ago the batch was known to be complete.
-        :param unseen_s: for how long what is new may have gone unnoticed here.
-        :returns: the changes that were news to the listener.
+        :param unseen_s: how long ago its changes may have been written without
+            being noticed here.
+        :returns: the changes that the listener reported as effective.
         """
         if self.next_offset is not None and batch.next_offset < self.next_offset:
             return ()
         is_restored = self._is_restored(batch)
         if is_restored:
-            # Entries that are missing are written again if their owners live.
+            # As after an outage: owners that still run write lost entries again.
             outage_age_s = 0.0
-        # Whoever has had a copy before knows about how long a value was not there.
+        # With an earlier copy, its age bounds how long ago a value was written.
         is_history = batch.is_whole and self.synced_s is None
         learning = Learning(is_history, outage_age_s, is_restored, max(unseen_s, age_s))
         changes = self._missing(batch)
-        news = tuple(change for change in changes if self._store(change, learning))
+        effective = tuple(c for c in changes if self._store(c, learning))
         self.next_offset = batch.next_offset
         synced_s = self._clock() - age_s
         self.synced_s = (
             synced_s if self.synced_s is None else max(self.synced_s, synced_s)
         )
         self._listener.note_synced()
-        return news
+        return effective
 
     def _missing(self, batch: KeyedBatch) -> list[KeyedChange]:
-        """Return the changes that this copy does not have yet."""
+        """Return the changes that this copy does not contain yet."""
         if not batch.is_whole:
             return [c for c in batch.changes if c.offset >= self.next_offset]
         kept = {change.key for change in batch.changes}
@@ -103,17 +104,17 @@
         return changes
 
     def _is_restored(self, batch: KeyedBatch) -> bool:
-        """Return whether the log returned from an older copy before ``batch``."""
+        """Return whether the log was restored from an older copy before ``batch``."""
         known = self.next_offset
         return known is not None and era_of(batch.next_offset) > era_of(known)
 
     def _store(self, change: KeyedChange, learning: Learning) -> bool:
-        is_news = self._listener.take(change.key, change.value, learning)
-        if learning.is_restored and not is_news and change.key in self._values:
-            # Others are told of what was known and will be written again.
+        is_effective = self._listener.take(change.key, change.value, learning)
+        if learning.is_restored and not is_effective and change.key in self._values:
+            # Snapshots for peers keep the known value; its owner writes it again.
             return False
         if change.value:
             self._values[change.key] = change.value
         else:
             self._values.pop(change.key, None)
-        return is_news
+        return is_effective
--- a/src/kumquatseam/feeds/_feeds.py
+++ b/src/kumquatseam/feeds/_feeds.py
@@ -1,13 +1,13 @@
-"""The topics this instance follows, and what it tells others of them."""
+"""The topics this instance follows, and its replies to other instances."""
 
 from collections.abc import Callable
 
 import attrs
 
 from kumquatseam.clocks import elapsed_s
-from kumquatseam.feeds._messages import TopicAnswer, TopicQuestion, TopicUpdate
-from kumquatseam.feeds._shared_watch import FeedPeers, ReadPace, SharedWatch
-from kumquatseam.feeds._standstills import PULSE_S, Standstills
+from kumquatseam.feeds._messages import TopicQuery, TopicReply, TopicUpdate
+from kumquatseam.feeds._process_pauses import HEARTBEAT_INTERVAL_S, ProcessPauses
+from kumquatseam.feeds._topic_follower import FeedPeers, ReadPace, TopicFollower
 from kumquatseam.lifecycle import PartGroup
 from kumquatseam.logservice import KeyedBatch, KeyedListener, LogService
 from kumquatseam.loops import StepLoop
@@ -20,10 +20,10 @@
     :param log: the log service.
     :param bus: connects the instances.
     :param record: this instance's own record.
-    :param questions: asks other instances, and answers them.
-    :param are_peers_known: whether it is known who the other instances are. Right
-        after a start each would take itself for the first of all, and all would
-        read for the others.
+    :param queries: sends queries to other instances and answers theirs.
+    :param are_peers_known: whether the list of instances has been loaded. Right
+        after a start each instance would otherwise find itself first in the order,
+        and all would read for the others.
     :param clock: seconds that also pass while the machine is suspended.
     """
 
@@ -32,35 +32,35 @@
         log: LogService,
         bus: PeerBus,
         record: InstanceRecord,
-        questions: Questions,
+        queries: Questions,
         are_peers_known: Callable[[], bool] = lambda: True,
         clock: Callable[[], float] = elapsed_s,
     ) -> None:
         self._clock = clock
-        self.process_pauses = Standstills(clock)
+        self.process_pauses = ProcessPauses(clock)
         self._log_service = log
         self._are_peers_known = are_peers_known
         self._bus = bus
         self._record = record
-        self._questions = questions
-        self._watches: dict[str, SharedWatch] = {}
-        bus.on_message(TopicUpdate, self.take_update)
-        questions.on_question(TopicQuestion, self.answer)
+        self._queries = queries
+        self._followers: dict[str, TopicFollower] = {}
+        bus.on_message(TopicUpdate, self.apply_update)
+        queries.on_question(TopicQuery, self.answer)
         self._parts = PartGroup("feeds", [])
 
     def follow(
         self, topic: str, listener: KeyedListener, pace: ReadPace
-    ) -> SharedWatch:
-        """Keep ``listener`` in step with ``topic`` from :meth:`start` on."""
+    ) -> TopicFollower:
+        """Keep ``listener`` up to date with ``topic`` from :meth:`start` on."""
         peers = FeedPeers(
             self._bus.name,
             lambda: self._bus.view().preceding(),
             lambda: self._bus.view().position,
             self._bus.publish,
-            lambda known_offset: self._ask_others(topic, known_offset),
+            lambda known_offset: self._query_peers(topic, known_offset),
             lambda: self._are_peers_known() and self._bus.view().is_in_council,
         )
-        watch = SharedWatch(
+        follower = TopicFollower(
             self._log_service,
             topic,
             listener,
@@ -69,60 +69,63 @@
             self._clock,
             self.process_pauses,
         )
-        self._watches[topic] = watch
-        return watch
+        self._followers[topic] = follower
+        return follower
 
     @property
-    def followers(self) -> tuple[SharedWatch, ...]:
-        """One watch a topic followed."""
-        return tuple(self._watches.values())
+    def followers(self) -> tuple[TopicFollower, ...]:
+        """The follower of each topic, in the order of :meth:`follow` calls."""
+        return tuple(self._followers.values())
 
     def start(self) -> None:
-        """Begin to follow."""
-        pulse = StepLoop(PULSE_S, self.process_pauses.note_running, runs_at_once=True)
-        self._parts = PartGroup("feeds", [pulse, *self._watches.values()])
+        """Start following the topics."""
+        heartbeat = StepLoop(
+            HEARTBEAT_INTERVAL_S, self.process_pauses.note_running, runs_at_once=True
+        )
+        self._parts = PartGroup("feeds", [heartbeat, *self._followers.values()])
         self._parts.start()
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop following the topics."""
         self._parts.close()
 
-    def take_update(self, update: TopicUpdate) -> None:
-        """Take in what another instance read."""
-        watch = self._watches.get(update.topic)
-        if watch is not None:
-            watch.apply_update(update)
+    def apply_update(self, update: TopicUpdate) -> None:
+        """Apply an update that another instance broadcast."""
+        follower = self._followers.get(update.topic)
+        if follower is not None:
+            follower.apply_update(update)
         if self._should_relay(update):
             self._bus.publish(attrs.evolve(update, is_relayed=True))
 
     def _should_relay(self, update: TopicUpdate) -> bool:
-        """Return whether others listen to this instance, but not to the sender.
+        """Return whether some instances receive from this one, not from the sender.
 
-        A leader may be cut off from the log; whoever reads it then is heard by
-        the leaders alone, and without them all others would read it themselves.
+        If a leader cannot reach the log, another instance reads it, whose updates
+        reach only the leaders. Without a relay all others would read the log
+        themselves.
         """
         view = self._bus.view()
         if update.is_relayed or not view.is_leader:
             return False
         return update.sender not in {record.name for record in view.leaders()}
 
-    def answer(self, question: TopicQuestion) -> TopicAnswer:
-        """Return what this instance knows of a topic."""
-        self._bus.add(question.asker)
-        watch = self._watches.get(question.topic)
-        if watch is None:
-            return TopicAnswer(0.0)
-        if (watch.copy.next_offset or 0) <= question.known_offset:
-            return TopicAnswer(watch.copy.age_s())
-        return TopicAnswer(watch.copy.age_s(), watch.copy.snapshot())
-
-    def _ask_others(
+    def answer(self, query: TopicQuery) -> TopicReply:
+        """Return this instance's copy of a topic if it is newer than the asker's."""
+        self._bus.add(query.asker)
+        follower = self._followers.get(query.topic)
+        if follower is None:
+            return TopicReply(0.0)
+        if (follower.copy.next_offset or 0) <= query.known_offset:
+            return TopicReply(follower.copy.age_s())
+        return TopicReply(follower.copy.age_s(), follower.copy.snapshot())
+
+    def _query_peers(
         self, topic: str, known_offset: int
     ) -> tuple[KeyedBatch, float] | None:
-        """Ask a few instances until one knows the topic beyond an offset."""
-        question = TopicQuestion(topic, self._record, known_offset)
-        reply = self._questions.ask_any(
-            question,
-            lambda found: isinstance(found, TopicAnswer) and found.batch is not None,
+        """Query a few instances until one has the topic beyond an offset."""
+        query = TopicQuery(topic, self._record, known_offset)
+        reply = self._queries.ask_any(
+            query,
+            lambda found: isinstance(found, TopicReply) and found.batch is not None,
         )
         return (reply.batch, reply.age_s) if reply is not None else None
--- a/src/kumquatseam/feeds/_messages.py
+++ b/src/kumquatseam/feeds/_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell and ask each other about topics."""
+"""Messages between instances about topics."""
 
 import attrs
 
@@ -8,17 +8,17 @@
 
 @attrs.frozen
 class TopicUpdate:
-    """What one read of a topic brought, told by the instance that read it.
+    """Broadcast of the changes found by one read of a topic.
 
-    :param sender: that instance.
+    :param sender: the instance that read the topic.
     :param topic: the topic.
-    :param batch: what is new, without what changed nothing.
-    :param oversize: keys of new values too large to be told; who needs them
-        reads the log.
-    :param outage_age_s: how long ago the log was last out of the sender's reach;
-        ``None`` if not lately.
-    :param is_relayed: handed on by a leader, for those that do not listen to the
-        sender.
+    :param batch: the effective changes; empty if there are none.
+    :param oversize: keys of changed values too large to broadcast; receivers read
+        them from the log.
+    :param outage_age_s: how long ago the sender last could not reach the log;
+        ``None`` if not recently.
+    :param is_relayed: forwarded by a leader to instances that do not receive from
+        the sender.
     """
 
     sender: str
@@ -30,12 +30,13 @@
 
 
 @attrs.frozen
-class TopicQuestion:
-    """Asks an instance for all it knows of a topic.
+class TopicQuery:
+    """Query for an instance's full copy of a topic.
 
     :param topic: the topic.
-    :param asker: the instance that asks; the other may not know of it.
-    :param known_offset: how far the asker knows it.
+    :param asker: the record of the querying instance, which the receiver may not
+        have in its list yet.
+    :param known_offset: the next offset of the asker's copy.
     """
 
     topic: str
@@ -44,16 +45,16 @@
 
 
 @attrs.frozen
-class TopicAnswer:
-    """All that an instance knows of a topic.
+class TopicReply:
+    """Reply with an instance's full copy of a topic.
 
-    :param age_s: how long ago that was known to be complete.
-    :param batch: everything; ``None`` if it knows no more than the asker.
+    :param age_s: how long ago the copy was known to be complete.
+    :param batch: the full copy; ``None`` if it is no newer than the asker's.
     """
 
     age_s: float
     batch: KeyedBatch | None = None
 
 
-#: the classes of this package, by name on the wire.
-QUERY_KINDS = {"question": TopicQuestion, "answer": TopicAnswer}
+#: queries and replies by their kind on the wire.
+QUERY_KINDS = {"question": TopicQuery, "answer": TopicReply}
