--- a/features/steps/cache_feeds_steps.py
+++ b/features/steps/cache_feeds_steps.py
@@ -186,7 +186,7 @@
         self.feeds.step()
         for poller in list(self.running):
             poller.run_due()
-        for update in self.feeds.take_fresh():
+        for update in self.feeds.pop_unsent_updates():
             self.world.send(self, update)
 
 
@@ -206,7 +206,7 @@
     def send(self, sender, update):
         for other in self.instances:
             if other is not sender and not other.is_down:
-                other.feeds.take_update(update)
+                other.feeds.apply_update(update)
 
     def run(self, seconds):
         end_s = self.clock.now_s + seconds
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -14,9 +14,9 @@
 from kumquatseam.peers import (
     MESSAGE_KINDS,
     FleetView,
-    Hearing,
     InstanceRecord,
     LoadExchange,
+    PeerLiveness,
 )
 from kumquatseam.placement import (
     Candidate,
@@ -246,9 +246,9 @@
 
     def view(self):
         records = [InstanceRecord(name, "a:1") for name in ("a", "b")]
-        return FleetView(records, self.name, lambda name: Hearing.ALIVE)
+        return FleetView(records, self.name, lambda name: PeerLiveness.ALIVE)
 
-    def heard(self):
+    def live_peers(self):
         return [r for r in self.view().records if r.name != self.name]
 
 
--- a/features/steps/feeds_steps.py
+++ b/features/steps/feeds_steps.py
@@ -23,7 +23,7 @@
     KeyedListener,
     LogServiceError,
 )
-from kumquatseam.peers import FleetView, Hearing, InstanceRecord, order_key
+from kumquatseam.peers import FleetView, InstanceRecord, PeerLiveness, order_key
 from kumquatseam.standins.logservice import (
     InMemoryLogService,
     LogFaults,
@@ -98,7 +98,7 @@
         return FleetView(
             sorted(records, key=order_key),
             self.name,
-            lambda name: Hearing.AWAY if name in away else Hearing.ALIVE,
+            lambda name: PeerLiveness.AWAY if name in away else PeerLiveness.ALIVE,
         )
 
     def _publish(self, update):
--- a/features/steps/modelled_net.py
+++ b/features/steps/modelled_net.py
@@ -22,17 +22,17 @@
         self.numbers = itertools.count()
         self.loss = 0.0
         self.repeats = 0.0
-        self.longest_delay_s = 0.003
+        self.max_delay_s = 0.003
         self.sent = 0
-        self.longest_bytes = 0
+        self.max_bytes = 0
 
     def send(self, sender, address, message):
         data = self.codec.encode(message)
         self.sent += 1
-        self.longest_bytes = max(self.longest_bytes, len(data))
+        self.max_bytes = max(self.max_bytes, len(data))
         for _ in range(2 if self.draw.random() < self.repeats else 1):
             if self.draw.random() >= self.loss:
-                delay_s = self.draw.uniform(0.0005, self.longest_delay_s)
+                delay_s = self.draw.uniform(0.0005, self.max_delay_s)
                 self.call_later(delay_s, self._deliver, address, sender, data)
 
     def call_later(self, delay_s, function, *arguments):
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -17,10 +17,10 @@
 from kumquatseam.peers import (
     MESSAGE_KINDS,
     FleetView,
-    Hearing,
     InstanceRecord,
     LoadExchange,
-    Questions,
+    PeerLiveness,
+    PeerQueries,
     RolloutNotice,
     order_key,
 )
@@ -62,19 +62,19 @@
 
     def hearing(self, name):
         if name not in self.since_s:
-            return Hearing.UNKNOWN
+            return PeerLiveness.UNKNOWN
         now_s = self.fleet.clock()
         if now_s - self.heard_s.get(name, float("-inf")) < AWAY_AFTER_S:
-            return Hearing.ALIVE
+            return PeerLiveness.ALIVE
         is_new = now_s - self.since_s[name] < AWAY_AFTER_S
-        return Hearing.UNKNOWN if is_new else Hearing.AWAY
+        return PeerLiveness.UNKNOWN if is_new else PeerLiveness.AWAY
 
     def heard(self):
         found = [r for r in self.fleet.records if r.name in self.since_s]
-        return [r for r in found if self.hearing(r.name) is Hearing.ALIVE]
+        return [r for r in found if self.hearing(r.name) is PeerLiveness.ALIVE]
 
     def step(self):
-        followed = {record.name for record in self.view().followed()}
+        followed = {record.name for record in self.view().subscription_targets()}
         for name in set(self.since_s) - followed:
             del self.since_s[name]
         for name in followed - set(self.since_s):
@@ -164,7 +164,7 @@
     assert len(leading) == leaders, [s.bus.name for s in leading]
     context.leading = leading
     for side in sides:
-        followed = side.bus.view().followed()
+        followed = side.bus.view().subscription_targets()
         if side not in leading:
             assert len(followed) == count, (side.bus.name, len(followed))
 
@@ -172,7 +172,7 @@
 @then("those that lead listen to {count:d} others")
 def step_council(context, count):
     for side in context.leading:
-        followed = side.bus.view().followed()
+        followed = side.bus.view().subscription_targets()
         assert len(followed) == count, (side.bus.name, len(followed))
 
 
@@ -181,7 +181,7 @@
     fleet = context.fleet_model
     alive = {side.bus.name for side in fleet.alive()}
     for side in fleet.alive():
-        followed = {record.name for record in side.bus.view().followed()}
+        followed = {record.name for record in side.bus.view().subscription_targets()}
         others = len(followed & alive) + (side.bus.name in followed)
         assert others >= 2 or side.bus.view().is_leader, (side.bus.name, followed)
 
@@ -264,7 +264,7 @@
 def _council_member(fleet):
     """Return an instance of the council that does not lead."""
     views = [(side, side.bus.view()) for side in fleet.alive()]
-    return [s for s, v in views if v.is_in_council and not v.is_leader][-1]
+    return [s for s, v in views if v.is_coordinator and not v.is_leader][-1]
 
 
 class OneTopic(KeyedListener):
@@ -281,7 +281,7 @@
     step_fleet(context, count, upstreams=1)
     pace = ReadPace(0.0, 1.0, 5.0)
     for side in context.fleet_model.alive():
-        questions = Questions(side.bus, QUERY_KINDS)
+        questions = PeerQueries(side.bus, QUERY_KINDS)
         side.feeds = TopicFeeds(None, side.bus, side.bus.record, questions)
         side.topic = OneTopic()
         watch = side.feeds.follow("keyed.t", side.topic, pace)
--- a/features/steps/quarantine_fleet.py
+++ b/features/steps/quarantine_fleet.py
@@ -11,8 +11,8 @@
 from kumquatseam.logservice import KeyedReader, LogServiceError
 from kumquatseam.peers import (
     FleetView,
-    Hearing,
     InstanceRecord,
+    PeerLiveness,
     RendezvousOrder,
     order_key,
 )
@@ -65,7 +65,7 @@
         self.handlers[kind] = handler
 
     def view(self):
-        return FleetView(self.fleet.records, self.name, self.fleet.hearing)
+        return FleetView(self.fleet.records, self.name, self.fleet.liveness)
 
     def publish(self, message):
         fleet = self.fleet
@@ -189,7 +189,7 @@
         self._followed_state, self._followed = None, {}
         self.instances = [ModelledInstance(self, record) for record in self.records]
         self.by_name = {instance.record.name: instance for instance in self.instances}
-        self.net.sides = {
+        self.net.endpoints = {
             instance.record.address: instance for instance in self.instances
         }
         for instance in self.instances:
@@ -210,8 +210,8 @@
     def running_instances(self):
         return [instance for instance in self.instances if instance.is_up]
 
-    def hearing(self, name):
-        return Hearing.ALIVE if self.by_name[name].is_up else Hearing.AWAY
+    def liveness(self, name):
+        return PeerLiveness.ALIVE if self.by_name[name].is_up else PeerLiveness.AWAY
 
     def followed_by(self, instance):
         """Return the names of the peers that an instance follows."""
@@ -219,7 +219,7 @@
         if state != self._followed_state:
             self._followed_state, self._followed = state, {}
         if instance not in self._followed:
-            followed = instance.bus.view().followed()
+            followed = instance.bus.view().subscription_targets()
             self._followed[instance] = {record.name for record in followed}
         return self._followed[instance]
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -259,7 +259,7 @@
     fleet = context.fleet_under_crash
     crashes = sum(len(times) for times in fleet.crashes.values())
     assert fleet.net.sent / crashes <= most, fleet.net.sent / crashes
-    assert fleet.net.longest_bytes <= size, fleet.net.longest_bytes
+    assert fleet.net.max_bytes <= size, fleet.net.max_bytes
 
 
 @then(
@@ -302,7 +302,7 @@
         instance.faults.down = not instance.faults.down
     elif event < 0.36:
         fleet.net.loss = rng.choice((0.0, 0.02, 0.2))
-        fleet.net.repeats = rng.choice((0.0, 0.1))
+        fleet.net.duplication = rng.choice((0.0, 0.1))
         fleet.notice_loss_ratio = rng.choice((0.0, 0.5))
     elif event < 0.4:
         up = [engine for engine in fleet.engines if engine.is_up]
--- a/features/steps/quarantine_world.py
+++ b/features/steps/quarantine_world.py
@@ -1,13 +1,13 @@
 """Quarantines for tests that start no processes."""
 
-from kumquatseam.peers import InstanceRecord, NoDatagrams, RendezvousOrder
+from kumquatseam.peers import InstanceRecord, NullDatagramLink, RendezvousOrder
 from kumquatseam.quarantine import DirectNoticeChannel, Quarantine, QuarantineParts
 
 
 def single_instance_quarantine():
     """Return the quarantine of a single instance, which sends no probes."""
     records = (InstanceRecord("alone", "127.0.0.1:1"),)
-    link = NoDatagrams()
+    link = NullDatagramLink()
     return Quarantine(
         QuarantineParts(
             "alone",
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -126,13 +126,13 @@
         fleet.run(for_s)
         owner.start()
     elif fails == "is cut off":
-        fleet.net.cut.add(address)
+        fleet.net.unreachable.add(address)
         fleet.run(for_s)
-        fleet.net.cut.discard(address)
+        fleet.net.unreachable.discard(address)
     else:
-        fleet.net.slow_s[address] = 0.4
+        fleet.net.extra_delay_s[address] = 0.4
         fleet.run(for_s)
-        fleet.net.slow_s.clear()
+        fleet.net.extra_delay_s.clear()
 
 
 @when(
--- a/features/steps/quota_world.py
+++ b/features/steps/quota_world.py
@@ -9,7 +9,7 @@
 from modelled_net import ModelledLink
 
 from kumquatseam.codec import MessageCodec
-from kumquatseam.peers import InstanceRecord, NoDatagrams, RendezvousOrder
+from kumquatseam.peers import InstanceRecord, NullDatagramLink, RendezvousOrder
 from kumquatseam.quotas import (
     DATAGRAM_KINDS,
     SWEEP_INTERVAL_S,
@@ -101,14 +101,14 @@
         self.clock = Clock()
         self.draw = random.Random(seed)
         self.net = FiberNet(self.clock, self.draw, CODEC)
-        self.net.longest_delay_s = MAX_DELAY_S
+        self.net.max_delay_s = MAX_DELAY_S
         self.table = RouteTable(1)
         self.records = tuple(
             InstanceRecord(f"i{n}", f"10.0.{n // 250}.{n % 250}:1", "", 10.0)
             for n in range(count)
         )
         self.instances = {r.name: SimulatedInstance(self, r) for r in self.records}
-        self.net.sides = {i.record.address: i for i in self.instances.values()}
+        self.net.endpoints = {i.record.address: i for i in self.instances.values()}
         self.requests = {}
         #: refused requests that were sent again after their retry delay.
         self.retried = []
@@ -127,7 +127,7 @@
     def owners_of(self, team):
         """Return the candidates for owner of a team's quota, in order."""
         order = RendezvousOrder(lambda: self.records)
-        return [self.instances[r.name] for r in order.of(QuotaShard(team).key)]
+        return [self.instances[r.name] for r in order.owners_of(QuotaShard(team).key)]
 
     # Load.
 
@@ -150,7 +150,7 @@
 
     def send_request(self, team, name, cost, obeys_retry_delay=False, is_repeat=False):
         instance = self.instances[name]
-        if instance.is_up and instance.record.address not in self.net.cut:
+        if instance.is_up and instance.record.address not in self.net.unreachable:
             self.net.spawn(
                 self._request, team, instance, cost, obeys_retry_delay, is_repeat
             )
@@ -252,4 +252,6 @@
 def single_instance_quotas():
     """Return the quotas of a fleet of one instance."""
     records = (InstanceRecord("alone", "127.0.0.1:1"),)
-    return TeamQuotas(QuotaParts("alone", lambda: records, NoDatagrams(), lambda: None))
+    return TeamQuotas(
+        QuotaParts("alone", lambda: records, NullDatagramLink(), lambda: None)
+    )
--- a/features/steps/starts_steps.py
+++ b/features/steps/starts_steps.py
@@ -68,7 +68,7 @@
         return self.world.clock() >= self.world.known_s
 
     def _may_read(self):
-        return self._is_known() and self._view().is_in_council
+        return self._is_known() and self._view().is_coordinator
 
     def _view(self):
         if self._is_known():
@@ -100,7 +100,7 @@
 def step_readers_council(context):
     readers = [i for i in context.world.readers() if i not in context.before]
     assert readers
-    assert all(i._view().is_in_council for i in readers)
+    assert all(i._view().is_coordinator for i in readers)
 
 
 @then("each looks again within {most_s:g} seconds whether to read")
@@ -111,7 +111,7 @@
 
 @then("those outside the council look again when their copies grow old")
 def step_looks_late(context):
-    others = [i for i in context.world.instances if not i._view().is_in_council]
+    others = [i for i in context.world.instances if not i._view().is_coordinator]
     assert others
     for instance in others:
         left_s = 1.1 - instance.watch.copy.age_s()
--- a/features/steps/trackers_steps.py
+++ b/features/steps/trackers_steps.py
@@ -29,7 +29,9 @@
 
 def _tracker_records(fleet, records=None):
     order = RendezvousOrder(lambda: records or fleet.records)
-    return {u.incarnation_id: order.of(u.incarnation_id)[0] for u in fleet.upstreams}
+    return {
+        u.incarnation_id: order.owners_of(u.incarnation_id)[0] for u in fleet.upstreams
+    }
 
 
 @then("all instances choose the same tracker for each engine")
@@ -38,7 +40,7 @@
     expected = _tracker_records(fleet)
     for instance in fleet.instances[:: max(1, len(fleet.instances) // 20)]:
         for engine, record in expected.items():
-            assert instance.order.of(engine)[0] == record
+            assert instance.order.owners_of(engine)[0] == record
 
 
 @then("no instance tracks more than {most:d} of them")
@@ -91,8 +93,8 @@
 
 @then("no datagram was longer than {most:d} bytes")
 def step_longest(context, most):
-    assert context.tracked_fleet.net.longest_bytes <= most, (
-        context.tracked_fleet.net.longest_bytes
+    assert context.tracked_fleet.net.max_bytes <= most, (
+        context.tracked_fleet.net.max_bytes
     )
 
 
@@ -216,7 +218,7 @@
 
 @given("every datagram is delivered twice")
 def step_duplicated(context):
-    context.tracked_fleet.net.repeats = 1.0
+    context.tracked_fleet.net.duplication = 1.0
 
 
 @when("the memory of one engine is filled by requests in progress")
@@ -304,7 +306,7 @@
 @when("replies take {took_ms:d} milliseconds for a while")
 def step_replies_take(context, took_ms):
     for _ in range(100):
-        context.estimate.note(took_ms / 1000.0)
+        context.estimate.observe(took_ms / 1000.0)
 
 
 @then("the next reply timeout is between {least_ms:d} and {most_ms:d} milliseconds")
@@ -365,8 +367,8 @@
     context.tracked_fleet = TrackedFleet(31, 12, 4, seed)
     net = context.tracked_fleet.net
     net.loss = net.draw.choice((0.0, 0.02, 0.2))
-    net.repeats = net.draw.choice((0.0, 0.1))
-    net.longest_delay_s = net.draw.choice((0.003, 0.02))
+    net.duplication = net.draw.choice((0.0, 0.1))
+    net.max_delay_s = net.draw.choice((0.003, 0.02))
 
 
 @when("{count:d} random steps are taken")
@@ -424,7 +426,7 @@
 def step_faults_end(context):
     fleet = context.tracked_fleet
     net = fleet.net
-    net.loss, net.repeats, net.longest_delay_s = 0.0, 0.0, 0.003
+    net.loss, net.duplication, net.max_delay_s = 0.0, 0.0, 0.003
     for instance in fleet.instances:
         instance.is_up = True
     for _, _, in_flight_request in fleet.placed:
--- a/features/steps/trackers_world.py
+++ b/features/steps/trackers_world.py
@@ -83,7 +83,7 @@
         ]
         self.records = sorted(records, key=order_key)
         self.instances = [ModelledInstance(self, record) for record in self.records]
-        self.net.sides = {
+        self.net.endpoints = {
             instance.record.address: instance for instance in self.instances
         }
         self.placed = []
@@ -127,8 +127,8 @@
         return self.first_tracker(engine).tracker._in_flight.totals_on(engine).running
 
     def first_tracker(self, engine):
-        record = RendezvousOrder(lambda: self.records).of(engine)[0]
-        return self.net.sides[record.address]
+        record = RendezvousOrder(lambda: self.records).owners_of(engine)[0]
+        return self.net.endpoints[record.address]
 
     def counted_requests(self):
         return {
--- a/features/steps/weights_begun_late_steps.py
+++ b/features/steps/weights_begun_late_steps.py
@@ -51,7 +51,7 @@
 class NoQuestions:
     """A question registry that receives no questions."""
 
-    def on_question(self, kind, answer):
+    def on_query(self, kind, answer):
         pass
 
 
--- a/src/kumquatseam/cachefeeds/_feeds.py
+++ b/src/kumquatseam/cachefeeds/_feeds.py
@@ -11,7 +11,7 @@
 from kumquatseam.cachefeeds._messages import IndexQuery, IndexReply
 from kumquatseam.cachefeeds._poller import HolderPoller
 from kumquatseam.logs import part_logger
-from kumquatseam.peers import HeldNews
+from kumquatseam.peers import HolderUpdateExchange
 from kumquatseam.prompts import HeldPart, HolderUpdate, PromptIndex
 
 _log = part_logger("cache")
@@ -31,7 +31,7 @@
 MAX_UNSENT = 256
 
 
-class CacheFeeds(HeldNews):
+class CacheFeeds(HolderUpdateExchange):
     """Keeps the index up to date with the reports of holders.
 
     :param client: queries holders.
@@ -122,12 +122,12 @@
         for name in set(tracked) & set(holders) - set(self._pollers):
             self._start_polling(name, holders[name])
 
-    def take_fresh(self) -> list[HolderUpdate]:
+    def pop_unsent_updates(self) -> list[HolderUpdate]:
         """Return and remove updates not yet sent to the other instances."""
         count = min(MAX_UPDATES_PER_BROADCAST, len(self._unsent))
         return [self._unsent.popleft() for _ in range(count)]
 
-    def take_update(self, update: HolderUpdate) -> None:
+    def apply_update(self, update: HolderUpdate) -> None:
         """Apply an update that another instance received from a holder."""
         self._last_update_s[update.holder] = self._clock()
         known = self._known.get(update.holder)
@@ -156,7 +156,7 @@
         """Add the holders that only the other instance knows."""
         for update in reply.holders:
             if update.holder not in self._known:
-                self.take_update(update)
+                self.apply_update(update)
         _log.bind(holders=len(reply.holders)).info(
             "Loaded the index of cache contents from another instance."
         )
--- a/src/kumquatseam/cachefeeds/_warm_start.py
+++ b/src/kumquatseam/cachefeeds/_warm_start.py
@@ -8,7 +8,7 @@
 from kumquatseam.cachefeeds._messages import IndexQuery, IndexReply
 from kumquatseam.logs import part_logger
 from kumquatseam.loops import BackgroundTask
-from kumquatseam.peers import Questions
+from kumquatseam.peers import PeerQueries
 
 _log = part_logger("cache")
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         feeds: CacheFeeds,
-        queries: Questions,
+        queries: PeerQueries,
         name: str,
         is_needed: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -39,7 +39,7 @@
         self._queries = queries
         self._name = name
         self._is_needed = is_needed
-        queries.on_question(IndexQuery, feeds.answer)
+        queries.on_query(IndexQuery, feeds.answer)
 
     def _run(self) -> None:
         waited_s = 0.0
@@ -48,7 +48,7 @@
             waited_s = at_s
             if not self._is_needed():
                 continue
-            reply = self._queries.ask_any(
+            reply = self._queries.query_any(
                 IndexQuery(self._name),
                 lambda found: isinstance(found, IndexReply) and bool(found.holders),
             )
--- a/src/kumquatseam/feeds/_feeds.py
+++ b/src/kumquatseam/feeds/_feeds.py
@@ -11,7 +11,7 @@
 from kumquatseam.lifecycle import PartGroup
 from kumquatseam.logservice import KeyedBatch, KeyedListener, LogService
 from kumquatseam.loops import StepLoop
-from kumquatseam.peers import InstanceRecord, PeerBus, Questions
+from kumquatseam.peers import InstanceRecord, PeerBus, PeerQueries
 
 
 class TopicFeeds:
@@ -32,7 +32,7 @@
         log: LogService,
         bus: PeerBus,
         record: InstanceRecord,
-        queries: Questions,
+        queries: PeerQueries,
         are_peers_known: Callable[[], bool] = lambda: True,
         clock: Callable[[], float] = elapsed_s,
     ) -> None:
@@ -45,7 +45,7 @@
         self._queries = queries
         self._followers: dict[str, TopicFollower] = {}
         bus.on_message(TopicUpdate, self.apply_update)
-        queries.on_question(TopicQuery, self.answer)
+        queries.on_query(TopicQuery, self.answer)
         self._parts = PartGroup("feeds", [])
 
     def follow(
@@ -58,7 +58,7 @@
             lambda: self._bus.view().position,
             self._bus.publish,
             lambda known_offset: self._query_peers(topic, known_offset),
-            lambda: self._are_peers_known() and self._bus.view().is_in_council,
+            lambda: self._are_peers_known() and self._bus.view().is_coordinator,
         )
         follower = TopicFollower(
             self._log_service,
@@ -124,7 +124,7 @@
     ) -> tuple[KeyedBatch, float] | None:
         """Query a few instances until one has the topic beyond an offset."""
         query = TopicQuery(topic, self._record, known_offset)
-        reply = self._queries.ask_any(
+        reply = self._queries.query_any(
             query,
             lambda found: isinstance(found, TopicReply) and found.batch is not None,
         )
--- a/src/kumquatseam/gateway/_gauges.py
+++ b/src/kumquatseam/gateway/_gauges.py
@@ -70,8 +70,8 @@
     client = parts.tracker_client
     metrics.counter("suspects_tried", lambda: parts.quarantine.trials)
     metrics.counter("quota_refusals", lambda: parts.quotas.refused)
-    metrics.counter("quota_questions", lambda: parts.quotas.calls.asked)
-    metrics.counter("quota_keepers_silent", lambda: parts.quotas.calls.unanswered)
+    metrics.counter("quota_questions", lambda: parts.quotas.calls.call_count)
+    metrics.counter("quota_keepers_silent", lambda: parts.quotas.calls.timeout_count)
     metrics.counter("quota_decided_alone", lambda: parts.quotas.decided_locally)
     metrics.counter("upstream_connections", lambda: parts.pool.opened)
     metrics.counter("caller_connections", lambda: parts.server.accepted)
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -33,12 +33,12 @@
     INSTANCES_TOPIC,
     MESSAGE_KINDS,
     DatagramSocket,
-    DutyHeld,
     InstanceRecord,
     InstanceRegistry,
+    LeaseHeartbeat,
     LoadExchange,
     PeerBus,
-    Questions,
+    PeerQueries,
     RendezvousOrder,
 )
 from kumquatseam.placement import BroadcastWork, Placer, ReplacedWeightsGrace
@@ -130,7 +130,7 @@
             file.gateway.link_mbps,
         )
         self._bus = PeerBus(self._record, BUS_KINDS)
-        self._questions = Questions(self._bus, QUERY_KINDS, file.peers.seeds)
+        self._questions = PeerQueries(self._bus, QUERY_KINDS, file.peers.seeds)
         self._feeds = TopicFeeds(
             self._log_service,
             self._bus,
@@ -157,7 +157,7 @@
         self._follow_topics(registry)
         self._cache_feeds = self._build_cache_feeds()
         self._loads = LoadExchange(
-            self._bus, self._directory, self._index, held_news=self._cache_feeds
+            self._bus, self._directory, self._index, holder_updates=self._cache_feeds
         )
         self._work = self._build_work()
         self._server = self._build_server()
@@ -260,9 +260,13 @@
             self._bus.name,
             self._file.rollout.lease_s,
             self._duty_rank,
-            on_held=lambda fence: self._bus.publish(DutyHeld(ROLLOUT_DUTY, fence)),
+            on_held=lambda fence: self._bus.publish(
+                LeaseHeartbeat(ROLLOUT_DUTY, fence)
+            ),
+        )
+        self._bus.on_message(
+            LeaseHeartbeat, lambda held: lease.note_other_holder(held.fence)
         )
-        self._bus.on_message(DutyHeld, lambda held: lease.note_other_holder(held.fence))
         return RolloutDuty(
             lease,
             self._targets,
@@ -280,7 +284,7 @@
     def _duty_rank(self) -> int | None:
         """Return this instance's place among those that may hold the duty."""
         view = self._bus.view()
-        if not self._are_peers_known() or not view.is_in_council:
+        if not self._are_peers_known() or not view.is_coordinator:
             return None
         return view.position
 
@@ -291,7 +295,7 @@
         client = TrackerClient(name, order, self._datagrams, self._tracker)
         self._tracker_client = client
         return FleetSizeSwitch(
-            lambda: self._bus.view().is_direct,
+            lambda: self._bus.view().is_full_mesh,
             BroadcastWork(self._directory, self._index, self._loads.on_upstream),
             TrackedWork(client, self._directory, name),
         )
@@ -317,7 +321,7 @@
 
     def _is_small(self) -> bool:
         """Return whether the fleet is known to be one that tells all everything."""
-        return self._are_peers_known() and self._bus.view().is_direct
+        return self._are_peers_known() and self._bus.view().is_full_mesh
 
     def _present_instances(self) -> list[str]:
         """Return the instances in use, once it is known who they are.
@@ -328,7 +332,7 @@
 
     def _tracked_holders(self) -> set[str] | None:
         """Return the holders to ask alone, unless all are told what they keep."""
-        if self._bus.view().is_direct:
+        if self._bus.view().is_full_mesh:
             return None
         return self._tracker.tracked_holders()
 
--- a/src/kumquatseam/peers/__init__.py
+++ b/src/kumquatseam/peers/__init__.py
@@ -6,7 +6,7 @@
 - :class:`InstanceRegistry` finds the instances through the log service.
 - :class:`LoadExchange` shares how many requests each has on each upstream, and
   what upstreams keep of prompts, in a fleet small enough for that.
-- :class:`Questions` are asked one instance at a time.
+- :class:`PeerQueries` are asked one instance at a time.
 - :class:`DatagramSocket` carries small messages that may be lost.
 - :class:`DatagramCalls` asks one instance over them, and waits for its answer.
 - :class:`RendezvousOrder` says which instance looks after something for all.
@@ -14,24 +14,24 @@
 
 from kumquatseam.peers._bus import PeerBus
 from kumquatseam.peers._calls import DatagramCalls
-from kumquatseam.peers._datagrams import DatagramLink, DatagramSocket, NoDatagrams
-from kumquatseam.peers._loads import HeldNews, LoadExchange
+from kumquatseam.peers._datagrams import DatagramLink, DatagramSocket, NullDatagramLink
+from kumquatseam.peers._loads import HolderUpdateExchange, LoadExchange
 from kumquatseam.peers._messages import (
     MESSAGE_KINDS,
-    DutyHeld,
     InstanceRecord,
+    LeaseHeartbeat,
     LoadSummary,
     OrderCount,
     Presence,
     RolloutNotice,
     UpstreamLoad,
 )
-from kumquatseam.peers._order import FleetView, Hearing, order_key
-from kumquatseam.peers._questions import Questions
+from kumquatseam.peers._order import FleetView, PeerLiveness, order_key
+from kumquatseam.peers._questions import PeerQueries
 from kumquatseam.peers._registry import INSTANCES_TOPIC, InstanceRegistry
 from kumquatseam.peers._rendezvous import RendezvousOrder
 from kumquatseam.peers._round_trip import RoundTripEstimate
-from kumquatseam.peers._silences import Silences
+from kumquatseam.peers._silences import UnresponsivePeers
 
 __all__ = [
     "INSTANCES_TOPIC",
@@ -39,23 +39,23 @@
     "DatagramCalls",
     "DatagramLink",
     "DatagramSocket",
-    "DutyHeld",
+    "LeaseHeartbeat",
     "FleetView",
-    "Hearing",
-    "HeldNews",
+    "PeerLiveness",
+    "HolderUpdateExchange",
     "InstanceRecord",
     "InstanceRegistry",
     "LoadExchange",
     "LoadSummary",
-    "NoDatagrams",
+    "NullDatagramLink",
     "OrderCount",
     "PeerBus",
     "Presence",
-    "Questions",
+    "PeerQueries",
     "RendezvousOrder",
     "RolloutNotice",
     "RoundTripEstimate",
-    "Silences",
+    "UnresponsivePeers",
     "UpstreamLoad",
     "order_key",
 ]
--- a/src/kumquatseam/peers/_bus.py
+++ b/src/kumquatseam/peers/_bus.py
@@ -11,7 +11,7 @@
 from kumquatseam.logs import part_logger
 from kumquatseam.nng import receive_forever
 from kumquatseam.peers._messages import InstanceRecord
-from kumquatseam.peers._order import FleetView, Hearing, order_key
+from kumquatseam.peers._order import FleetView, PeerLiveness, order_key
 
 _log = part_logger("peers")
 
@@ -113,13 +113,15 @@
         return [
             subscription.record
             for name, subscription in self._subscribers.items()
-            if self._hearing(name) is Hearing.ALIVE
+            if self._hearing(name) is PeerLiveness.ALIVE
         ]
 
     def step(self) -> None:
         """Listen to those that are due, and open silent connections anew."""
         now_s = time.monotonic()
-        followed = {record.name: record for record in self.view().followed()}
+        followed = {
+            record.name: record for record in self.view().subscription_targets()
+        }
         for name, subscription in list(self._subscribers.items()):
             if followed.get(name) != subscription.record:
                 self._unsubscribe(name)
@@ -133,15 +135,15 @@
         self._ordered = sorted(self._known.values(), key=order_key)
         self._view_until_s = 0.0
 
-    def _hearing(self, name: str) -> Hearing:
+    def _hearing(self, name: str) -> PeerLiveness:
         subscription = self._subscribers.get(name)
         if subscription is None:
-            return Hearing.UNKNOWN
+            return PeerLiveness.UNKNOWN
         now_s = time.monotonic()
         if now_s - subscription.heard_s < AWAY_AFTER_S:
-            return Hearing.ALIVE
+            return PeerLiveness.ALIVE
         is_new = now_s - subscription.since_s < AWAY_AFTER_S
-        return Hearing.UNKNOWN if is_new else Hearing.AWAY
+        return PeerLiveness.UNKNOWN if is_new else PeerLiveness.AWAY
 
     def _unsubscribe(self, name: str) -> None:
         subscription = self._subscribers.pop(name, None)
--- a/src/kumquatseam/peers/_calls.py
+++ b/src/kumquatseam/peers/_calls.py
@@ -11,7 +11,7 @@
 from kumquatseam.peers._datagrams import DatagramLink
 from kumquatseam.peers._messages import InstanceRecord
 from kumquatseam.peers._round_trip import RoundTripEstimate
-from kumquatseam.peers._silences import Silences
+from kumquatseam.peers._silences import UnresponsivePeers
 
 _log = part_logger("datagrams")
 
@@ -33,7 +33,7 @@
 class DatagramCalls:
     """Asks instances over datagrams, one message and one answer each.
 
-    Questions and answers are classes with a ``number``; the answer repeats that
+    PeerQueries and answers are classes with a ``number``; the answer repeats that
     of its question. Instances that did not answer lately are not asked.
 
     :param link: carries the messages.
@@ -55,7 +55,7 @@
         self._round_trip = RoundTripEstimate()
         self._pending: dict[int, _Pending] = {}
         self._number = random.getrandbits(48)
-        self.silences = Silences(clock)
+        self.unresponsive = UnresponsivePeers(clock)
         self.asked = 0
         self.unanswered = 0
         link.on_message(answer_kind, self._take_answer)
@@ -67,7 +67,7 @@
 
     def ask(self, record: InstanceRecord, question) -> object | None:
         """Return the answer of an instance; ``None`` if it gives none in time."""
-        if self.silences.is_silent(record.name):
+        if self.unresponsive.is_skipped(record.name):
             return None
         pending = self._pending[question.number] = _Pending(self._clock())
         self.asked += 1
@@ -79,18 +79,18 @@
         if pending.answer is None:
             self._note_silent(record)
             return None
-        self.silences.note_heard(record.name)
+        self.unresponsive.note_reply(record.name)
         return pending.answer
 
     def _take_answer(self, answer, _: str) -> None:
         pending = self._pending.pop(answer.number, None)
         if pending is None:
             return
-        self._round_trip.note(self._clock() - pending.asked_s)
+        self._round_trip.observe(self._clock() - pending.asked_s)
         pending.answer = answer
         pending.is_answered.set()
 
     def _note_silent(self, record: InstanceRecord) -> None:
         self.unanswered += 1
-        pause_s = self.silences.note_silent(record.name)
+        pause_s = self.unresponsive.note_timeout(record.name)
         _log.bind(peer=record.name, for_s=pause_s).debug("Instance silent.")
--- a/src/kumquatseam/peers/_datagrams.py
+++ b/src/kumquatseam/peers/_datagrams.py
@@ -33,7 +33,7 @@
         """Call ``handler`` with each message of class ``kind`` and its sender."""
 
 
-class NoDatagrams(DatagramLink):
+class NullDatagramLink(DatagramLink):
     """For an instance that has no others."""
 
     def send(self, address: str, message: object) -> None:
--- a/src/kumquatseam/peers/_loads.py
+++ b/src/kumquatseam/peers/_loads.py
@@ -79,7 +79,7 @@
                 self._sums[load.incarnation_id] = found
 
 
-class HeldNews(abc.ABC):
+class HolderUpdateExchange(abc.ABC):
     """Where news of what upstreams keep comes from and goes to."""
 
     @abc.abstractmethod
@@ -91,7 +91,7 @@
         """Take in what another instance tells."""
 
 
-class _NoNews(HeldNews):
+class _NoNews(HolderUpdateExchange):
     def take_fresh(self) -> list[HolderUpdate]:
         return []
 
@@ -109,7 +109,7 @@
     :param directory: knows this instance's own requests.
     :param index: knows what upstreams read, and is told what peers gave them.
     :param clock: monotonic clock in seconds.
-    :param held_news: what upstreams say that they keep.
+    :param holder_updates: what upstreams say that they keep.
     """
 
     def __init__(
@@ -118,9 +118,9 @@
         directory: UpstreamDirectory,
         index: PromptIndex,
         clock: Callable[[], float] = time.monotonic,
-        held_news: HeldNews | None = None,
+        holder_updates: HolderUpdateExchange | None = None,
     ) -> None:
-        self._held_news = held_news or _NoNews()
+        self._held_news = holder_updates or _NoNews()
         self._bus = bus
         self._directory = directory
         self._index = index
@@ -139,17 +139,17 @@
         if now_s - self._published_s < self._pause_s(view):
             return
         self._published_s = now_s
-        if view.is_direct:
+        if view.is_full_mesh:
             self._publish_loads()
-        elif view.is_in_council:
+        elif view.is_coordinator:
             self._bus.publish(Presence(self._bus.name))
 
     def next_step_s(self) -> float:
         """Return how long until the next step may have something to do."""
         view = self._bus.view()
-        if view.is_direct:
+        if view.is_full_mesh:
             return MIN_PAUSE_S
-        return HEARTBEAT_S if view.is_in_council else STANDBY_PAUSE_S
+        return HEARTBEAT_S if view.is_coordinator else STANDBY_PAUSE_S
 
     def _publish_loads(self) -> None:
         self._published_changes = self._directory.requests_sent
@@ -173,7 +173,7 @@
         those that are registered.
         """
         view = self._bus.view()
-        return len(self._bus.heard()) + 1 if view.is_direct else len(view.records)
+        return len(self._bus.heard()) + 1 if view.is_full_mesh else len(view.records)
 
     def take(self, summary: LoadSummary) -> None:
         """Take in another instance's loads."""
@@ -190,6 +190,6 @@
 
     def _pause_s(self, view: FleetView) -> float:
         is_quiet = self._directory.requests_sent == self._published_changes
-        if is_quiet or not view.is_direct:
+        if is_quiet or not view.is_full_mesh:
             return HEARTBEAT_S
         return max(MIN_PAUSE_S, PAUSE_PER_PEER_S * self.count_instances())
--- a/src/kumquatseam/peers/_messages.py
+++ b/src/kumquatseam/peers/_messages.py
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class DutyHeld:
+class LeaseHeartbeat:
     """The sender holds a duty's lease.
 
     :param duty: the duty's name.
@@ -129,6 +129,6 @@
 MESSAGE_KINDS = {
     "load": LoadSummary,
     "presence": Presence,
-    "held": DutyHeld,
+    "held": LeaseHeartbeat,
     "rollout": RolloutNotice,
 }
--- a/src/kumquatseam/peers/_order.py
+++ b/src/kumquatseam/peers/_order.py
@@ -29,7 +29,7 @@
 COUNCIL = 8
 
 
-class Hearing(enum.Enum):
+class PeerLiveness(enum.Enum):
     """What is known of another instance."""
 
     ALIVE = "alive"
@@ -56,17 +56,17 @@
 
     records: Sequence[InstanceRecord]
     own_name: str
-    hearing: Callable[[str], Hearing]
+    hearing: Callable[[str], PeerLiveness]
 
     @property
-    def is_direct(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether everyone listens to everyone."""
         return len(self.records) <= MAX_DIRECT
 
     @functools.cached_property
     def position(self) -> int:
         """This instance's place among those that are not known to be away."""
-        return sum(self.hearing(n) is not Hearing.AWAY for n in self.preceding())
+        return sum(self.hearing(n) is not PeerLiveness.AWAY for n in self.preceding())
 
     def preceding(self) -> frozenset[str]:
         """Return the names of those that stand before this instance."""
@@ -80,12 +80,12 @@
     @property
     def is_leader(self) -> bool:
         """Whether this instance leads a large fleet."""
-        return not self.is_direct and self.position < LEADERS
+        return not self.is_full_mesh and self.position < LEADERS
 
     @property
-    def is_in_council(self) -> bool:
+    def is_coordinator(self) -> bool:
         """Whether this instance may read the log for others or hold a duty."""
-        return self.is_direct or self.position < COUNCIL
+        return self.is_full_mesh or self.position < COUNCIL
 
     def present_names(self) -> list[str]:
         """Return the instances that are not known to be away, in order."""
@@ -93,7 +93,7 @@
 
     def leaders(self) -> list[InstanceRecord]:
         """Return those that lead a large fleet, as far as this instance knows."""
-        if self.is_direct:
+        if self.is_full_mesh:
             return []
         return self._until_present(LEADERS, with_away=False)
 
@@ -103,7 +103,7 @@
         Those that are away are listened to all the same if they stand before
         the last one needed, since they take their place again once they are back.
         """
-        if self.is_direct:
+        if self.is_full_mesh:
             found = list(self.records)
         else:
             count = COUNCIL if self.is_leader else LEADERS
@@ -124,4 +124,4 @@
 
     def _is_present(self, record: InstanceRecord) -> bool:
         is_self = record.name == self.own_name
-        return is_self or self.hearing(record.name) is not Hearing.AWAY
+        return is_self or self.hearing(record.name) is not PeerLiveness.AWAY
--- a/src/kumquatseam/peers/_questions.py
+++ b/src/kumquatseam/peers/_questions.py
@@ -1,4 +1,4 @@
-"""Questions that instances ask each other one at a time."""
+"""PeerQueries that instances ask each other one at a time."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -15,7 +15,7 @@
 MAX_ASKED = 3
 
 
-class Questions:
+class PeerQueries:
     """Answers other instances at this one's address, and asks them.
 
     :param bus: knows the other instances.
@@ -43,7 +43,7 @@
             url = f"tcp://{own_address}"
             self._server = ReplyServer(url, self._codec, self.answer)
 
-    def on_question(self, kind: type, handler: Callable) -> None:
+    def on_query(self, kind: type, handler: Callable) -> None:
         """Answer questions of class ``kind`` with what ``handler`` returns."""
         self._handlers[kind] = handler
 
@@ -68,7 +68,7 @@
             raise CodecError("question", f"no question: {kind}")
         return handler(question)
 
-    def ask_any(
+    def query_any(
         self, question: object, is_useful: Callable[[object], bool]
     ) -> object | None:
         """Ask a few instances until one gives a useful answer."""
@@ -87,6 +87,6 @@
 
         In a large fleet few are heard, and these would be asked by all others.
         """
-        if self._bus.view().is_direct:
+        if self._bus.view().is_full_mesh:
             return self._bus.heard()
         return [record for record in self._bus.records if record.name != self._bus.name]
--- a/src/kumquatseam/peers/_silences.py
+++ b/src/kumquatseam/peers/_silences.py
@@ -24,7 +24,7 @@
     until_s: float = 0.0
 
 
-class Silences:
+class UnresponsivePeers:
     """Remembers instances that did not answer, so that others are asked.
 
     :param clock: monotonic clock in seconds.
--- a/src/kumquatseam/quarantine/_owners.py
+++ b/src/kumquatseam/quarantine/_owners.py
@@ -78,7 +78,7 @@
 
     def candidates(self, fingerprint: str) -> tuple[InstanceRecord, ...]:
         """Return the instances that may own a request, by preference."""
-        return self._order.of(fingerprint)
+        return self._order.owners_of(fingerprint)
 
     def may_own(self, fingerprint: str) -> bool:
         """Return whether this instance is a candidate owner of a request."""
--- a/src/kumquatseam/quotas/_teams.py
+++ b/src/kumquatseam/quotas/_teams.py
@@ -238,8 +238,8 @@
 
     def _find_owner(self, shard: QuotaShard) -> InstanceRecord | None:
         """Return the first instance in the shard's order that is not unresponsive."""
-        for record in self._order.of(shard.key):
-            if not self.calls.silences.is_silent(record.name):
+        for record in self._order.owners_of(shard.key):
+            if not self.calls.unresponsive.is_skipped(record.name):
                 return record
         return None
 
@@ -305,7 +305,7 @@
         """Return the reply of the first instance in the shard's order that replies."""
         prefetch = lease.usage_per_s * MIN_LEASE_S
         unreported, lease.unreported = lease.unreported, 0
-        for record in self._order.of(shard.key):
+        for record in self._order.owners_of(shard.key):
             request = QuotaLeaseRequest(
                 self.calls.next_number(),
                 shard,
@@ -317,7 +317,7 @@
             )
             if record.name == self._name:
                 return self._decide_as_owner(request)
-            reply = self.calls.ask(record, request)
+            reply = self.calls.call(record, request)
             if reply is not None:
                 return reply
         lease.unreported += unreported
@@ -362,7 +362,7 @@
             update = QuotaUsageUpdate(
                 request.shard, request.limit, amount, reply.is_over
             )
-            choices = self._order.of(request.shard.key)
+            choices = self._order.owners_of(request.shard.key)
             for record in choices[:2]:
                 if record.name != self._name:
                     self._link.send(record.address, update)
--- a/src/kumquatseam/trackers/_client.py
+++ b/src/kumquatseam/trackers/_client.py
@@ -14,7 +14,7 @@
     InstanceRecord,
     RendezvousOrder,
     RoundTripEstimate,
-    Silences,
+    UnresponsivePeers,
 )
 from kumquatseam.placement import HolderScope
 from kumquatseam.prompts import PromptPart
@@ -70,7 +70,7 @@
         self._clock = clock
         self._wait = wait
         self._round_trip = RoundTripEstimate()
-        self._silences = Silences(clock)
+        self._silences = UnresponsivePeers(clock)
         self._pending: dict[int, _PendingQuery] = {}
         self._last_number = random.getrandbits(48)
         self.query_count = 0
@@ -85,8 +85,8 @@
 
         :returns: ``None`` if all candidates are silent.
         """
-        for record in self._order.of(holder):
-            if not self._silences.is_silent(record.name):
+        for record in self._order.owners_of(holder):
+            if not self._silences.is_skipped(record.name):
                 return record
         return None
 
@@ -160,11 +160,11 @@
         self._link.send(sender, self._tracker.answer(query))
 
     def _handle_reply(self, reply: LoadReply, _: str) -> None:
-        self._silences.note_heard(reply.sender)
+        self._silences.note_reply(reply.sender)
         pending = self._pending.pop(reply.number, None)
         if pending is None:
             return
-        self._round_trip.note(self._clock() - pending.sent_s)
+        self._round_trip.observe(self._clock() - pending.sent_s)
         del pending.awaited[reply.number]
         pending.loads.extend(reply.loads)
         if not pending.awaited:
@@ -172,7 +172,7 @@
 
     def _note_silent(self, record: InstanceRecord) -> None:
         self.timeout_count += 1
-        pause_s = self._silences.note_silent(record.name)
+        pause_s = self._silences.note_timeout(record.name)
         _log.bind(
             peer=record.name,
             for_s=pause_s,
--- a/src/kumquatseam/wiring.py
+++ b/src/kumquatseam/wiring.py
@@ -51,7 +51,7 @@
 from kumquatseam.peers import (
     DatagramLink,
     DatagramSocket,
-    NoDatagrams,
+    NullDatagramLink,
     RendezvousOrder,
 )
 from kumquatseam.quarantine import (
@@ -161,7 +161,7 @@
     def _build_quarantine(self) -> Quarantine:
         """Return what keeps back ends from requests that crash them."""
         name, log = self._settings.daemon.instance_name, self._log_service
-        link: DatagramLink = NoDatagrams()
+        link: DatagramLink = NullDatagramLink()
         routers = RouterRecords(name, self._membership)
         if self._membership is not None:
             link = DatagramSocket(routers.own_address, DATAGRAM_KINDS)
