--- a/features/peers.feature
+++ b/features/peers.feature
@@ -1,32 +1,33 @@
-Feature: Instances tell each other their loads
-  In a small fleet everyone tells everyone. In a large one nobody could hear all:
-  everyone listens to two leaders, and these to the first few of the order.
+Feature: Instances exchange their loads
+  In a small fleet every instance subscribes to every other one. In a large one an
+  instance would receive too many messages that way: all subscribe to two leaders,
+  and the leaders to the first few instances in the fleet order (coordinators).
 
-  Scenario Outline: Who listens to whom
+  Scenario Outline: Subscriptions by fleet size
     Given a fleet of <count> instances
-    Then each listens to <followed> others, and <leaders> instances lead
-    And those that lead listen to <council> others
+    Then each instance subscribes to <subscribed> others, and there are <leaders> leaders
+    And each leader subscribes to <coordinators> others
 
     Examples:
-      | count | followed | leaders | council |
-      | 1     | 0        | 0       | 0       |
-      | 7     | 6        | 0       | 0       |
-      | 12    | 11       | 0       | 0       |
-      | 13    | 2        | 2       | 7       |
-      | 61    | 2        | 2       | 7       |
-      | 300   | 2        | 2       | 7       |
-      | 860   | 2        | 2       | 7       |
-
-  Scenario: Fast links lead
+      | count | subscribed | leaders | coordinators |
+      | 1     | 0          | 0       | 0            |
+      | 7     | 6          | 0       | 0            |
+      | 12    | 11         | 0       | 0            |
+      | 13    | 2          | 2       | 7            |
+      | 61    | 2          | 2       | 7            |
+      | 300   | 2          | 2       | 7            |
+      | 860   | 2          | 2       | 7            |
+
+  Scenario: Instances with fast links lead
     Given a fleet of 61 instances, 6 of them with faster links
     Then the leaders have the faster links
 
-  Scenario Outline: All know what all have in a small fleet
+  Scenario Outline: Each instance knows all loads in a small fleet
     Given a fleet of <count> instances with requests on 20 upstreams
-    When <seconds> seconds of requests pass
-    And 1 quiet seconds pass
-    Then each knows what all others have on every upstream
-    And each knows how many instances there are
+    When the fleet runs for <seconds> seconds with requests
+    And the fleet runs for 1 seconds without requests
+    Then each instance knows the loads of all others on every upstream
+    And each instance knows the number of instances
 
     Examples:
       | count | seconds |
@@ -34,17 +35,17 @@
       | 7     | 2       |
       | 12    | 2       |
 
-  Scenario: What upstreams were given to read reaches all in a small fleet
+  Scenario: Prompts sent for prefill are announced to all in a small fleet
     Given a fleet of 12 instances with requests on 20 upstreams
-    When 1 quiet seconds pass
+    When the fleet runs for 1 seconds without requests
     And one instance sends a prompt to an upstream
-    And 0.5 quiet seconds pass
-    Then all know who holds that prompt
+    And the fleet runs for 0.5 seconds without requests
+    Then all instances know who holds that prompt
 
-  Scenario Outline: In a large fleet all know how many instances there are
+  Scenario Outline: Instances of a large fleet know its size
     Given a fleet of <count> instances with requests on 20 upstreams
-    When 2 seconds of requests pass
-    Then each knows how many instances there are
+    When the fleet runs for 2 seconds with requests
+    Then each instance knows the number of instances
 
     Examples:
       | count |
@@ -53,12 +54,12 @@
 
   Scenario Outline: Leaders fail
     Given a fleet of 61 instances with requests on 20 upstreams
-    When 2 seconds of requests pass
-    And the <which> of the leaders fail
-    And 4 quiet seconds pass
-    Then each listens to two that are alive
-    When an instance that may hold the duty tells that e3 loads weights
-    Then all know at once that e3 loads weights
+    When the fleet runs for 2 seconds with requests
+    And these leaders fail: <which>
+    And the fleet runs for 4 seconds without requests
+    Then each instance subscribes to two live instances
+    When a coordinator that does not lead publishes that e3 loads weights
+    Then all instances know immediately that e3 loads weights
 
     Examples:
       | which  |
@@ -68,44 +69,44 @@
 
   Scenario: Leaders come back
     Given a fleet of 61 instances with requests on 20 upstreams
-    When 2 seconds of requests pass
-    And the both of the leaders fail
-    And 4 quiet seconds pass
-    And they come back
-    And 4 quiet seconds pass
-    Then each listens to 2 others, and 2 instances lead
-    When an instance that may hold the duty tells that e3 loads weights
-    Then all know at once that e3 loads weights
-
-  Scenario Outline: What an instance hears does not grow with the fleet
+    When the fleet runs for 2 seconds with requests
+    And these leaders fail: both
+    And the fleet runs for 4 seconds without requests
+    And the leaders come back
+    And the fleet runs for 4 seconds without requests
+    Then each instance subscribes to 2 others, and there are 2 leaders
+    When a coordinator that does not lead publishes that e3 loads weights
+    Then all instances know immediately that e3 loads weights
+
+  Scenario Outline: The messages an instance receives do not grow with the fleet
     Given a fleet of <count> instances with requests on 20 upstreams
-    When 2 seconds of requests pass
-    Then no instance heard more than 60 messages in them
+    When the fleet runs for 2 seconds with requests
+    Then no instance received more than 60 messages in that time
 
     Examples:
       | count |
       | 61    |
       | 300   |
 
-  Scenario: A notice reaches those who do not hear its sender
+  Scenario: A notice reaches instances that do not subscribe to its sender
     Given a fleet of 61 instances with requests on 20 upstreams
-    When 1 quiet seconds pass
-    And an instance that may hold the duty tells that e3 loads weights
-    Then all know at once that e3 loads weights
-    And each heard it at most 3 times
+    When the fleet runs for 1 seconds without requests
+    And a coordinator that does not lead publishes that e3 loads weights
+    Then all instances know immediately that e3 loads weights
+    And each instance received the notice at most 3 times
 
-  Scenario: A notice that was overtaken changes nothing
+  Scenario: A notice that arrives after a later one is ignored
     Given a fleet of 2 instances with requests on 20 upstreams
-    When a notice is overtaken by the next one
-    Then the later one holds
+    When two notices arrive in the wrong order
+    Then the later notice stays in effect
 
-  Scenario: What is read behind a leader that cannot reach the log reaches all
+  Scenario: Log updates reach all when a leader cannot reach the log
     Given a fleet of 61 instances that follow a topic
-    When an instance that may read it tells what it read
-    Then every instance took it in
-    And each heard the update at most twice
-
-  Scenario: Sockets that are opened and closed freeze no instance
-    Given 6 programs that ask each other over nng, with a new socket each time
-    When they have done so for 8 seconds
-    Then none of them is frozen
+    When a coordinator that does not lead publishes what it read from the log
+    Then every instance applied the update
+    And each instance received the update at most twice
+
+  Scenario: Opening and closing sockets freezes no process
+    Given 6 processes that query each other over nng, with a new socket each time
+    When the processes have run for 8 seconds
+    Then none of the processes is frozen
--- a/features/steps/modelled_clock.py
+++ b/features/steps/modelled_clock.py
@@ -1,8 +1,8 @@
-"""Modelled time for steps that need no sleeping."""
+"""Modelled time for steps that run without sleeping."""
 
 
 class Clock:
-    """Seconds that pass when a step says so."""
+    """A monotonic clock that steps advance explicitly."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -11,5 +11,5 @@
         return self.now_s
 
     def sleep(self, pause_s: float) -> None:
-        """Let seconds pass at once."""
+        """Advance the clock instead of sleeping."""
         self.now_s += pause_s
--- a/features/steps/modelled_fibers.py
+++ b/features/steps/modelled_fibers.py
@@ -1,25 +1,25 @@
-"""Requests that wait beside each other in modelled time."""
+"""Concurrent requests in modelled time."""
 
 import greenlet
 from modelled_net import ModelledNet
 
 
 class FiberNet(ModelledNet):
-    """Datagrams and timers, and requests that run until they wait for something."""
+    """A modelled network with requests that run as greenlets until they wait."""
 
     def __init__(self, clock, draw, codec):
         super().__init__(clock, draw, codec)
         self.main = greenlet.getcurrent()
-        self.waiting = {}
+        self.awaited_events = {}
         #: bytes sent and received by each address.
         self.bytes_by_address = {}
-        #: addresses that nothing reaches and that reach nobody.
-        self.cut = set()
-        #: seconds by which what goes to an address is late.
-        self.slow_s = {}
+        #: addresses that can neither send nor receive.
+        self.unreachable = set()
+        #: extra delay of datagrams to an address.
+        self.extra_delay_s = {}
 
     def spawn(self, function, *arguments):
-        """Run a request until it ends or waits."""
+        """Run a request until it ends or waits for an event."""
         greenlet.greenlet(function, self.main).switch(*arguments)
 
     def wait(self, event, timeout_s):
@@ -29,12 +29,12 @@
         if current is self.main:
             super().wait(event, timeout_s)
             return
-        self.waiting[current] = event
+        self.awaited_events[current] = event
         self.call_later(timeout_s, self._resume, current, event)
         self.main.switch()
 
     def send(self, sender, address, message):
-        if sender in self.cut or address in self.cut:
+        if sender in self.unreachable or address in self.unreachable:
             return
         size = len(self.codec.encode(message))
         for end in (sender, address):
@@ -42,19 +42,19 @@
         super().send(sender, address, message)
 
     def _deliver(self, address, sender, data):
-        late_s = self.slow_s.get(address, 0.0)
-        if late_s:
-            self.call_later(late_s, self._take, address, sender, data)
+        extra_s = self.extra_delay_s.get(address, 0.0)
+        if extra_s:
+            self.call_later(extra_s, self._deliver_now, address, sender, data)
         else:
-            self._take(address, sender, data)
+            self._deliver_now(address, sender, data)
 
-    def _take(self, address, sender, data):
+    def _deliver_now(self, address, sender, data):
         super()._deliver(address, sender, data)
-        for current, event in list(self.waiting.items()):
+        for current, event in list(self.awaited_events.items()):
             if event.is_set():
                 self._resume(current, event)
 
     def _resume(self, current, event):
-        if self.waiting.get(current) is event:
-            del self.waiting[current]
+        if self.awaited_events.get(current) is event:
+            del self.awaited_events[current]
             current.switch()
--- a/features/steps/modelled_net.py
+++ b/features/steps/modelled_net.py
@@ -7,9 +7,10 @@
 
 
 class ModelledNet:
-    """What is due when: datagrams on their way, and calls for later.
+    """A network with delay, loss and duplication, and a scheduler of calls.
 
-    :param draw: decides on losses and delays.
+    :param clock: modelled clock.
+    :param draw: random generator for losses, duplicates and delays.
     :param codec: encodes the messages.
     """
 
@@ -17,11 +18,13 @@
         self.clock = clock
         self.draw = draw
         self.codec = codec
-        self.sides = {}
-        self.due = []
-        self.numbers = itertools.count()
+        #: receivers of datagrams by address.
+        self.endpoints = {}
+        self.scheduled = []
+        self.call_numbers = itertools.count()
+        #: probabilities that a datagram is lost, and sent twice.
         self.loss = 0.0
-        self.repeats = 0.0
+        self.duplication = 0.0
         self.max_delay_s = 0.003
         self.sent = 0
         self.max_bytes = 0
@@ -30,18 +33,20 @@
         data = self.codec.encode(message)
         self.sent += 1
         self.max_bytes = max(self.max_bytes, len(data))
-        for _ in range(2 if self.draw.random() < self.repeats else 1):
+        for _ in range(2 if self.draw.random() < self.duplication else 1):
             if self.draw.random() >= self.loss:
                 delay_s = self.draw.uniform(0.0005, self.max_delay_s)
                 self.call_later(delay_s, self._deliver, address, sender, data)
 
     def call_later(self, delay_s, function, *arguments):
         due_s = self.clock() + delay_s
-        heapq.heappush(self.due, (due_s, next(self.numbers), function, arguments))
+        heapq.heappush(
+            self.scheduled, (due_s, next(self.call_numbers), function, arguments)
+        )
 
     def run_until(self, end_s, is_done=lambda: False):
-        while not is_done() and self.due and self.due[0][0] <= end_s:
-            due_s, _, function, arguments = heapq.heappop(self.due)
+        while not is_done() and self.scheduled and self.scheduled[0][0] <= end_s:
+            due_s, _, function, arguments = heapq.heappop(self.scheduled)
             self.clock.now_s = max(self.clock.now_s, due_s)
             function(*arguments)
         if not is_done():
@@ -51,10 +56,10 @@
         self.run_until(self.clock() + timeout_s, event.is_set)
 
     def _deliver(self, address, sender, data):
-        side = self.sides.get(address)
-        if side is not None and side.is_up:
+        endpoint = self.endpoints.get(address)
+        if endpoint is not None and endpoint.is_up:
             message = self.codec.decode(data)
-            side.link.handlers[type(message)](message, sender)
+            endpoint.link.handlers[type(message)](message, sender)
 
 
 class ModelledLink(DatagramLink):
--- a/src/kumquatseam/peers/__init__.py
+++ b/src/kumquatseam/peers/__init__.py
@@ -1,15 +1,16 @@
-"""Instances of the gateway telling each other what changes quickly.
+"""Communication between the instances of the gateway.
 
-- :class:`PeerBus` publishes messages to the instances that listen and hands on
-  theirs; nothing on it is needed for correctness, only for better choices.
-- :class:`FleetView` is the order of the instances: who listens to whom.
-- :class:`InstanceRegistry` finds the instances through the log service.
-- :class:`LoadExchange` shares how many requests each has on each upstream, and
-  what upstreams keep of prompts, in a fleet small enough for that.
-- :class:`PeerQueries` are asked one instance at a time.
+- :class:`PeerBus` publishes messages to the instances that subscribe to this one
+  and dispatches theirs. Losing its messages costs only the quality of choices,
+  never correctness.
+- :class:`FleetView` orders the instances and says who subscribes to whom.
+- :class:`InstanceRegistry` discovers the instances through the log service.
+- :class:`LoadExchange` broadcasts each instance's requests per upstream, and what
+  upstreams hold of prompts, in a fleet small enough for that.
+- :class:`PeerQueries` sends request-reply queries to one instance at a time.
 - :class:`DatagramSocket` carries small messages that may be lost.
-- :class:`DatagramCalls` asks one instance over them, and waits for its answer.
-- :class:`RendezvousOrder` says which instance looks after something for all.
+- :class:`DatagramCalls` calls one instance over datagrams and waits for its reply.
+- :class:`RendezvousOrder` selects the instances that own a key.
 """
 
 from kumquatseam.peers._bus import PeerBus
@@ -22,16 +23,16 @@
     LeaseHeartbeat,
     LoadSummary,
     OrderCount,
-    Presence,
+    PresenceHeartbeat,
     RolloutNotice,
     UpstreamLoad,
 )
 from kumquatseam.peers._order import FleetView, PeerLiveness, order_key
-from kumquatseam.peers._questions import PeerQueries
+from kumquatseam.peers._queries import PeerQueries
 from kumquatseam.peers._registry import INSTANCES_TOPIC, InstanceRegistry
 from kumquatseam.peers._rendezvous import RendezvousOrder
 from kumquatseam.peers._round_trip import RoundTripEstimate
-from kumquatseam.peers._silences import UnresponsivePeers
+from kumquatseam.peers._unresponsive import UnresponsivePeers
 
 __all__ = [
     "INSTANCES_TOPIC",
@@ -50,7 +51,7 @@
     "NullDatagramLink",
     "OrderCount",
     "PeerBus",
-    "Presence",
+    "PresenceHeartbeat",
     "PeerQueries",
     "RendezvousOrder",
     "RolloutNotice",
--- a/src/kumquatseam/peers/_bus.py
+++ b/src/kumquatseam/peers/_bus.py
@@ -1,4 +1,4 @@
-"""Publishing to other instances and hearing from them, over pynng."""
+"""Publish and subscribe between instances, over pynng."""
 
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -15,40 +15,41 @@
 
 _log = part_logger("peers")
 
-#: an instance not heard from for this long counts as away: ten summaries.
+#: an instance counts as away after this long without a message, which is the time
+#: of ten summaries.
 AWAY_AFTER_S = 1.5
-#: a connection with nothing on it for this long is opened anew, since it may
-#: have gone silent for good.
+#: a connection without a message for this long is reopened, since it may be
+#: half-open and never recover by itself.
 REDIAL_AFTER_S = 2.5
-#: pauses between attempts to connect, in ms.
+#: pauses between attempts to connect.
 RECONNECT_MIN_MS = 100
 RECONNECT_MAX_MS = 1_000
-#: messages kept for a slow reader.
+#: messages buffered for a slow subscriber.
 QUEUE_MESSAGES = 64
-#: how old this instance's view of the order may be. Working it out anew for each
-#: of some hundred questions a second took a tenth of a small instance's core.
+#: maximum age of the cached view. Recomputing it for each of about a hundred
+#: queries a second takes a tenth of a core on a small instance.
 VIEW_MAX_AGE_S = 0.1
 
 
 class PeerBus:
-    """Publish and subscribe among the instances.
+    """Publishes messages to other instances and dispatches theirs.
 
-    Whom this instance listens to follows from :class:`FleetView`; whoever
-    listens to it hears what it publishes.
+    :class:`FleetView` decides which instances this one subscribes to. A published
+    message goes to all instances that subscribe to this one.
 
     :param record: this instance.
-    :param kinds: the messages' classes by their names on the wire.
+    :param kinds: message classes by their names on the wire.
     """
 
     def __init__(self, record: InstanceRecord, kinds: Mapping[str, type]) -> None:
         self._codec = MessageCodec("peer message", kinds, is_compact=True)
         self.record = record
         self._publisher = pynng.Pub0(send_buffer_size=QUEUE_MESSAGES)
-        self._known: dict[str, InstanceRecord] = {record.name: record}
+        self._records_by_name: dict[str, InstanceRecord] = {record.name: record}
         self._ordered: list[InstanceRecord] = [record]
         self._subscribers: dict[str, _Subscription] = {}
         self._handlers: dict[type, Callable] = {}
-        self._view = FleetView(self._ordered, record.name, self._hearing)
+        self._view = FleetView(self._ordered, record.name, self._liveness)
         self._view_until_s = 0.0
         self.sent = 0
         self.received = 0
@@ -56,7 +57,7 @@
 
     @property
     def name(self) -> str:
-        """This instance's name."""
+        """Name of this instance."""
         return self.record.name
 
     def on_message(self, kind: type, handler: Callable) -> None:
@@ -64,17 +65,17 @@
         self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Publish at this instance's address."""
+        """Accept subscribers at this instance's address."""
         self._publisher.listen(f"tcp://{self.record.address}")
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         for name in list(self._subscribers):
             self._unsubscribe(name)
         self._publisher.close()
 
     def publish(self, message: object) -> None:
-        """Send ``message`` to every instance that listens; never waits."""
+        """Send ``message`` to all subscribers without blocking."""
         self.sent += 1
         try:
             self._publisher.send(self._codec.encode(message), block=False)
@@ -82,67 +83,65 @@
             _log.bind(error=repr(error)).warning("Message not published.")
 
     def add(self, record: InstanceRecord) -> None:
-        """Take in an instance's record."""
-        if record.name == self.name or self._known.get(record.name) == record:
+        """Add an instance, or update its record."""
+        if record.name == self.name or self._records_by_name.get(record.name) == record:
             return
-        self._known[record.name] = record
+        self._records_by_name[record.name] = record
         self._reorder()
-        _log.bind(peer=record.name, address=record.address).info("Instance known.")
+        _log.bind(peer=record.name, address=record.address).info("Instance added.")
 
     def remove(self, name: str) -> None:
-        """Forget an instance."""
-        if name != self.name and self._known.pop(name, None) is not None:
+        """Remove an instance."""
+        if name != self.name and self._records_by_name.pop(name, None) is not None:
             self._reorder()
-            _log.bind(peer=name).info("Instance forgotten.")
+            _log.bind(peer=name).info("Instance removed.")
 
     @property
     def records(self) -> Sequence[InstanceRecord]:
-        """Every instance known, in order; a new object after each change."""
+        """All known instances in fleet order; a new object after each change."""
         return self._ordered
 
     def view(self) -> FleetView:
-        """Return the order of the instances as of a moment ago."""
+        """Return the fleet view, at most ``VIEW_MAX_AGE_S`` old."""
         now_s = time.monotonic()
         if now_s >= self._view_until_s:
-            self._view = FleetView(self._ordered, self.name, self._hearing)
+            self._view = FleetView(self._ordered, self.name, self._liveness)
             self._view_until_s = now_s + VIEW_MAX_AGE_S
         return self._view
 
-    def heard(self) -> list[InstanceRecord]:
-        """Return the other instances heard from lately."""
+    def live_peers(self) -> list[InstanceRecord]:
+        """Return the other instances that are known to be alive."""
         return [
             subscription.record
             for name, subscription in self._subscribers.items()
-            if self._hearing(name) is PeerLiveness.ALIVE
+            if self._liveness(name) is PeerLiveness.ALIVE
         ]
 
     def step(self) -> None:
-        """Listen to those that are due, and open silent connections anew."""
+        """Update the subscriptions and reopen connections that are silent."""
         now_s = time.monotonic()
-        followed = {
-            record.name: record for record in self.view().subscription_targets()
-        }
+        targets = {record.name: record for record in self.view().subscription_targets()}
         for name, subscription in list(self._subscribers.items()):
-            if followed.get(name) != subscription.record:
+            if targets.get(name) != subscription.record:
                 self._unsubscribe(name)
-        for name, record in followed.items():
+        for name, record in targets.items():
             if name not in self._subscribers:
                 self._subscribers[name] = _Subscription(record, self._receive)
         for subscription in self._subscribers.values():
             subscription.check(now_s)
 
     def _reorder(self) -> None:
-        self._ordered = sorted(self._known.values(), key=order_key)
+        self._ordered = sorted(self._records_by_name.values(), key=order_key)
         self._view_until_s = 0.0
 
-    def _hearing(self, name: str) -> PeerLiveness:
+    def _liveness(self, name: str) -> PeerLiveness:
         subscription = self._subscribers.get(name)
         if subscription is None:
             return PeerLiveness.UNKNOWN
         now_s = time.monotonic()
-        if now_s - subscription.heard_s < AWAY_AFTER_S:
+        if now_s - subscription.last_received_s < AWAY_AFTER_S:
             return PeerLiveness.ALIVE
-        is_new = now_s - subscription.since_s < AWAY_AFTER_S
+        is_new = now_s - subscription.subscribed_s < AWAY_AFTER_S
         return PeerLiveness.UNKNOWN if is_new else PeerLiveness.AWAY
 
     def _unsubscribe(self, name: str) -> None:
@@ -157,7 +156,7 @@
             message = self._codec.decode(data)
         except CodecError as error:
             _log.bind(peer=subscription.record.name, error=str(error)).warning(
-                "Bad message."
+                "Peer message not decoded."
             )
             return
         handler = self._handlers.get(type(message))
@@ -166,16 +165,16 @@
 
 
 class _Subscription:
-    """The connection to one instance.
+    """A subscription to the messages of one instance.
 
-    :param record: the instance.
-    :param receive: called with this subscription and each message.
+    :param record: the instance to subscribe to.
+    :param receive: called with this subscription and each message's bytes.
     """
 
     def __init__(self, record: InstanceRecord, receive: Callable) -> None:
         self.record = record
-        self.since_s = time.monotonic()
-        self.heard_s = float("-inf")
+        self.subscribed_s = time.monotonic()
+        self.last_received_s = float("-inf")
         self._receive = receive
         self._socket: pynng.Sub0 | None = None
         self._reader: gevent.Greenlet | None = None
@@ -183,12 +182,12 @@
         self._open()
 
     def check(self, now_s: float) -> None:
-        """Open the connection anew if nothing came for too long."""
-        is_away = now_s - self.heard_s >= AWAY_AFTER_S
+        """Reopen the connection if no message arrived for ``REDIAL_AFTER_S``."""
+        is_away = now_s - self.last_received_s >= AWAY_AFTER_S
         if is_away and not self._is_away:
             self._is_away = True
             _log.bind(peer=self.record.name).info("Instance not heard from.")
-        if now_s - max(self.heard_s, self._opened_s) >= REDIAL_AFTER_S:
+        if now_s - max(self.last_received_s, self._opened_s) >= REDIAL_AFTER_S:
             self.close()
             self._open()
 
@@ -204,10 +203,10 @@
         self._socket.reconnect_time_min = RECONNECT_MIN_MS
         self._socket.reconnect_time_max = RECONNECT_MAX_MS
         self._socket.dial(f"tcp://{self.record.address}", block=False)
-        self._reader = gevent.spawn(receive_forever, self._socket, self._take)
+        self._reader = gevent.spawn(receive_forever, self._socket, self._handle)
 
-    def _take(self, data: bytes) -> None:
-        self.heard_s = time.monotonic()
+    def _handle(self, data: bytes) -> None:
+        self.last_received_s = time.monotonic()
         if self._is_away:
             self._is_away = False
             _log.bind(peer=self.record.name).info("Instance heard from.")
--- a/src/kumquatseam/peers/_calls.py
+++ b/src/kumquatseam/peers/_calls.py
@@ -1,4 +1,4 @@
-"""Asking one instance something over datagrams, and waiting for its answer."""
+"""Calls to one instance over datagrams, with a timeout."""
 
 import random
 import time
@@ -11,41 +11,41 @@
 from kumquatseam.peers._datagrams import DatagramLink
 from kumquatseam.peers._messages import InstanceRecord
 from kumquatseam.peers._round_trip import RoundTripEstimate
-from kumquatseam.peers._silences import UnresponsivePeers
+from kumquatseam.peers._unresponsive import UnresponsivePeers
 
 _log = part_logger("datagrams")
 
 
 @attrs.define
 class _Pending:
-    """A question that waits for its answer.
+    """A request that waits for its reply.
 
-    :param asked_s: when it was sent.
-    :param answer: what came back.
-    :param is_answered: set when it came.
+    :param sent_s: when the request was sent.
+    :param reply: the reply, once it arrived.
+    :param is_answered: set when the reply arrived.
     """
 
-    asked_s: float
-    answer: object | None = None
+    sent_s: float
+    reply: object | None = None
     is_answered: gevent.event.Event = attrs.Factory(gevent.event.Event)
 
 
 class DatagramCalls:
-    """Asks instances over datagrams, one message and one answer each.
+    """Calls instances over datagrams: one request and one reply each.
 
-    PeerQueries and answers are classes with a ``number``; the answer repeats that
-    of its question. Instances that did not answer lately are not asked.
+    Requests and replies are classes with a ``number``; a reply carries the number
+    of its request. Instances that recently timed out are skipped.
 
     :param link: carries the messages.
-    :param answer_kind: the class of the answers.
+    :param reply_kind: class of the replies.
     :param clock: monotonic clock in seconds.
-    :param wait: waits until an event is set, for so many seconds at most.
+    :param wait: waits for an event, with a timeout in seconds.
     """
 
     def __init__(
         self,
         link: DatagramLink,
-        answer_kind: type,
+        reply_kind: type,
         clock: Callable[[], float] = time.monotonic,
         wait: Callable[[gevent.event.Event, float], object] = gevent.event.Event.wait,
     ) -> None:
@@ -54,43 +54,43 @@
         self._wait = wait
         self._round_trip = RoundTripEstimate()
         self._pending: dict[int, _Pending] = {}
-        self._number = random.getrandbits(48)
+        self._last_number = random.getrandbits(48)
         self.unresponsive = UnresponsivePeers(clock)
-        self.asked = 0
-        self.unanswered = 0
-        link.on_message(answer_kind, self._take_answer)
+        self.call_count = 0
+        self.timeout_count = 0
+        link.on_message(reply_kind, self._handle_reply)
 
     def next_number(self) -> int:
-        """Return a number for a question."""
-        self._number += 1
-        return self._number
+        """Return the number for the next request."""
+        self._last_number += 1
+        return self._last_number
 
-    def ask(self, record: InstanceRecord, question) -> object | None:
-        """Return the answer of an instance; ``None`` if it gives none in time."""
+    def call(self, record: InstanceRecord, request) -> object | None:
+        """Return the reply of an instance; ``None`` if it is skipped or times out."""
         if self.unresponsive.is_skipped(record.name):
             return None
-        pending = self._pending[question.number] = _Pending(self._clock())
-        self.asked += 1
+        pending = self._pending[request.number] = _Pending(self._clock())
+        self.call_count += 1
         try:
-            self._link.send(record.address, question)
+            self._link.send(record.address, request)
             self._wait(pending.is_answered, self._round_trip.timeout_s)
         finally:
-            self._pending.pop(question.number, None)
-        if pending.answer is None:
-            self._note_silent(record)
+            self._pending.pop(request.number, None)
+        if pending.reply is None:
+            self._note_timeout(record)
             return None
         self.unresponsive.note_reply(record.name)
-        return pending.answer
+        return pending.reply
 
-    def _take_answer(self, answer, _: str) -> None:
-        pending = self._pending.pop(answer.number, None)
+    def _handle_reply(self, reply, _: str) -> None:
+        pending = self._pending.pop(reply.number, None)
         if pending is None:
             return
-        self._round_trip.observe(self._clock() - pending.asked_s)
-        pending.answer = answer
+        self._round_trip.observe(self._clock() - pending.sent_s)
+        pending.reply = reply
         pending.is_answered.set()
 
-    def _note_silent(self, record: InstanceRecord) -> None:
-        self.unanswered += 1
+    def _note_timeout(self, record: InstanceRecord) -> None:
+        self.timeout_count += 1
         pause_s = self.unresponsive.note_timeout(record.name)
-        _log.bind(peer=record.name, for_s=pause_s).debug("Instance silent.")
+        _log.bind(peer=record.name, for_s=pause_s).debug("Call to instance timed out.")
--- a/src/kumquatseam/peers/_datagrams.py
+++ b/src/kumquatseam/peers/_datagrams.py
@@ -1,8 +1,8 @@
 """Small messages between instances, without connections.
 
-A connection to each instance that is asked would cost memory and descriptors for
-every other one, and a question is a hundred bytes. Datagrams may be lost; who
-waits for an answer gives up soon.
+Queries are about a hundred bytes long and may go to any instance. Connections
+would cost memory and file descriptors on each instance for every other one.
+Datagrams may be lost, so callers that wait for a reply use a short timeout.
 """
 
 import abc
@@ -17,24 +17,27 @@
 
 _log = part_logger("datagrams")
 
-#: longest datagram taken; a question about a dozen upstreams has 600 bytes.
+#: longest datagram received; a query about a dozen upstreams has 600 bytes.
 MAX_DATAGRAM_BYTES = 65_000
 
 
 class DatagramLink(abc.ABC):
-    """Sends messages to instances, which may be lost, and takes theirs."""
+    """Sends datagrams to instances and dispatches theirs; datagrams may be lost."""
 
     @abc.abstractmethod
     def send(self, address: str, message: object) -> None:
-        """Send a message to the instance at ``address``; never waits."""
+        """Send a message to the instance at ``address`` without blocking."""
 
     @abc.abstractmethod
     def on_message(self, kind: type, handler: Callable[[object, str], None]) -> None:
-        """Call ``handler`` with each message of class ``kind`` and its sender."""
+        """Call ``handler`` with each message of class ``kind`` and its sender.
+
+        :param handler: takes the message and the sender's ``host:port``.
+        """
 
 
 class NullDatagramLink(DatagramLink):
-    """For an instance that has no others."""
+    """Drops all messages; for an instance without peers."""
 
     def send(self, address: str, message: object) -> None:
         pass
@@ -47,7 +50,7 @@
     """Datagrams over UDP.
 
     :param address: ``host:port`` of this instance.
-    :param kinds: the messages' classes by their names on the wire.
+    :param kinds: message classes by their names on the wire.
     """
 
     def __init__(self, address: str, kinds: Mapping[str, type]) -> None:
@@ -57,20 +60,20 @@
         self._socket: gevent.socket.socket | None = None
         self._reader: gevent.Greenlet | None = None
         self.sent = 0
-        self.unsent = 0
+        self.send_failures = 0
         self.received = 0
 
     def on_message(self, kind: type, handler: Callable[[object, str], None]) -> None:
         self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Bind and begin to receive."""
+        """Bind the socket and start receiving."""
         host, _, port = self._address.rpartition(":")
         family, kind = gevent.socket.AF_INET, gevent.socket.SOCK_DGRAM
         self._socket = gevent.socket.socket(family, kind)
         self._socket.bind((host, int(port)))
         self._socket.setblocking(False)
-        self._reader = gevent.spawn(self._run)
+        self._reader = gevent.spawn(self._receive_forever)
 
     def close(self) -> None:
         """Stop receiving."""
@@ -89,11 +92,12 @@
             self._socket.sendto(self._codec.encode(message), (host, int(port)))
             self.sent += 1
         except OSError as error:
-            # Who waits for an answer asks elsewhere; the rest only informs.
-            self.unsent += 1
+            # Queries fall back to another instance after their timeout; other messages
+            # are advisory.
+            self.send_failures += 1
             _log.bind(address=address, error=repr(error)).debug("Datagram not sent.")
 
-    def _run(self) -> None:
+    def _receive_forever(self) -> None:
         while True:
             gevent.socket.wait_read(self._socket.fileno())
             self._receive_all()
@@ -105,13 +109,13 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                # An earlier datagram could not be delivered.
+                # An ICMP error for a datagram sent earlier.
                 _log.bind(error=repr(error)).debug("Datagram not received.")
                 return
             self.received += 1
-            self._take(data, f"{host}:{port}")
+            self._handle(data, f"{host}:{port}")
 
-    def _take(self, data: bytes, sender: str) -> None:
+    def _handle(self, data: bytes, sender: str) -> None:
         try:
             message = self._codec.decode(data)
             handler = self._handlers.get(type(message))
@@ -119,5 +123,5 @@
                 handler(message, sender)
         except CodecError as error:
             _log.bind(sender=sender, error=str(error)).warning("Bad datagram.")
-        except Exception:  # noqa: BLE001 - logged; the next one may be sound
-            _log.bind(sender=sender).exception("A datagram could not be taken in.")
+        except Exception:  # noqa: BLE001 - logged; later datagrams are unaffected
+            _log.bind(sender=sender).exception("Datagram handler failed.")
--- a/src/kumquatseam/peers/_messages.py
+++ b/src/kumquatseam/peers/_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other, and its compact form on the wire."""
+"""Messages between instances, and their compact encoding."""
 
 import attrs
 
@@ -8,13 +8,14 @@
 
 @attrs.frozen
 class InstanceRecord:
-    """Where an instance publishes.
+    """Addresses of an instance, as registered in the log.
 
     :param name: the instance's name.
-    :param address: ``host:port`` it publishes at over TCP, and takes datagrams at
-        over UDP.
-    :param state_address: ``host:port`` it answers questions at, if it does.
-    :param link_mbps: speed of its link; 0 if it is not known.
+    :param address: ``host:port`` at which it publishes over TCP and receives
+        datagrams over UDP.
+    :param state_address: ``host:port`` at which it answers queries; empty if it
+        answers none.
+    :param link_mbps: speed of its network link; 0 if unknown.
     """
 
     name: str
@@ -27,9 +28,9 @@
 class UpstreamLoad:
     """Requests of one instance on one upstream.
 
-    :param incarnation_id: the incarnation of an upstream.
-    :param running: requests.
-    :param pending_tokens: prompt tokens it still has to read for them.
+    :param incarnation_id: the incarnation of the upstream.
+    :param running: number of requests.
+    :param pending_tokens: their prompt tokens that are not prefilled yet.
     """
 
     incarnation_id: str
@@ -39,12 +40,12 @@
 
 @attrs.frozen
 class LoadSummary:
-    """Every request an instance has on upstreams.
+    """All requests of an instance on upstreams.
 
     :param sender: the instance.
-    :param loads: upstreams with at least one.
-    :param reads: what upstreams were given to read since the last summary.
-    :param held: what upstreams and stores said that they keep.
+    :param loads: loads of the upstreams with at least one request.
+    :param reads: prompts sent to upstreams for prefill since the last summary.
+    :param held: updates of upstreams and stores about what they hold.
     """
 
     sender: str
@@ -54,8 +55,8 @@
 
 
 @attrs.frozen
-class Presence:
-    """An instance that others listen to is there, and has nothing else to tell.
+class PresenceHeartbeat:
+    """Heartbeat of an instance that others subscribe to and that sends no loads.
 
     :param sender: the instance.
     """
@@ -65,10 +66,10 @@
 
 @attrs.frozen
 class LeaseHeartbeat:
-    """The sender holds a duty's lease.
+    """Heartbeat of the holder of a lease.
 
-    :param duty: the duty's name.
-    :param fence: the offset of its newest lease record.
+    :param duty: name of the duty that the lease covers.
+    :param fence: fencing token, which is the log offset of its newest lease record.
     """
 
     duty: str
@@ -77,10 +78,10 @@
 
 @attrs.frozen
 class OrderCount:
-    """How many orders an engine accepted.
+    """Number of load orders that an engine accepted.
 
     :param incarnation_id: the incarnation of the engine.
-    :param accepted: orders accepted since it started.
+    :param accepted: orders accepted since the engine started.
     """
 
     incarnation_id: str
@@ -89,23 +90,26 @@
 
 @attrs.frozen
 class RolloutNotice:
-    """How far a rollout of weights is.
+    """Progress of a rollout of weights.
 
-    :param sender: the instance that gives the orders.
-    :param fence: its fencing token; a lower one is out of date.
-    :param sequence: counts the notices under one token.
+    :param sender: the instance that runs the rollout.
+    :param fence: its fencing token; notices with a lower one are out of date.
+    :param sequence: sequence number among the notices with this token.
     :param model: the model.
-    :param version: the weights being rolled out.
-    :param loading: incarnations of upstreams that refuse work of the model for now.
-    :param closing: those that load next and should get no new work.
-    :param ready: those that run the weights.
-    :param destinations: those that take the runs of those that load.
-    :param named_age_s: how long ago the weights were named, if known.
-    :param replaced: the version they were named in place of, if known.
-    :param orders: orders that engines accepted; a successor expects as many.
-    :param failed_tries: how many tries to load the weights ended their engines, none
-        having loaded them and nothing else explaining it.
-    :param keep_runs: those of ``loading`` whose runs go on under the weights loaded.
+    :param version: version of the weights that are rolled out.
+    :param loading: incarnations of upstreams that currently refuse requests for the
+        model.
+    :param closing: incarnations that load next and should get no new requests.
+    :param ready: incarnations that serve the weights.
+    :param destinations: incarnations that runs on loading upstreams are moved to.
+    :param named_age_s: time since the version became the target, if known.
+    :param replaced: the target version before this one, if known.
+    :param orders: orders that each engine accepted; the next lease holder compares
+        them with the counts that engines report.
+    :param failed_tries: number of attempts to load the weights that ended in the
+        engine's exit, if no engine has loaded them and there is no other cause.
+    :param keep_runs: incarnations in ``loading`` whose runs continue on the weights
+        that are loaded.
     """
 
     sender: str
@@ -125,10 +129,10 @@
 
 
 RECORD_CODEC = MessageCodec("instance record", {"instance": InstanceRecord})
-#: what this package's parts tell each other, by name on the wire.
+#: classes of this package's messages by their names on the wire.
 MESSAGE_KINDS = {
     "load": LoadSummary,
-    "presence": Presence,
+    "presence": PresenceHeartbeat,
     "held": LeaseHeartbeat,
     "rollout": RolloutNotice,
 }
--- a/src/kumquatseam/peers/_order.py
+++ b/src/kumquatseam/peers/_order.py
@@ -1,11 +1,12 @@
-"""The order of the instances, and whom each listens to.
-
-In a small fleet everyone listens to everyone. In a large one that would cost
-each instance a message for every request that any of them takes, so all listen
-to two leaders alone. Nobody appoints leaders: they are the first two of the order
-that are heard from. What few instances tell all (what the log brought, how far a
-rollout is) comes from one of the first in the order, its council, to which the
-leaders listen; they hand it on.
+"""The fleet order, and which instances each instance subscribes to.
+
+In a small fleet every instance subscribes to every other one (full mesh). In a
+large one that would cost each instance a message for every request of the fleet,
+so instances subscribe only to two leaders. There is no election: the leaders are
+the first two instances in the fleet order that are not known to be away, and the
+coordinators are the first few. Only coordinators publish what the whole fleet needs
+(updates read from the log, the progress of a rollout); the leaders subscribe to
+them and relay their messages.
 """
 
 import enum
@@ -17,20 +18,25 @@
 
 from kumquatseam.peers._messages import InstanceRecord
 
-#: fleets up to this size need no leaders: each instance then hears 300 messages
-#: a second at most, at 3% of a core.
-MAX_DIRECT = 12
-#: leaders of a large fleet. One that fails is noticed only after its messages
-#: are overdue; the second one goes on meanwhile.
+#: largest fleet without leaders. Each instance then receives at most 300 messages
+#: a second, which takes 3% of a core.
+MAX_FULL_MESH = 12
+#: leaders of a large fleet. A failed leader is detected only when its messages are
+#: overdue; until then the second one relays alone.
 LEADERS = 2
-#: instances of a large fleet that may read the log for the others or hold a
-#: duty. Leaders listen to these alone, so what a leader hears does not grow with
-#: the fleet; eight are enough for a third of all to be cut off from the log.
-COUNCIL = 8
+#: instances of a large fleet that may read the log for the others or hold a duty's
+#: lease. Leaders subscribe only to these, so the messages that a leader receives
+#: don't grow with the fleet. Eight are enough when a third of all instances cannot
+#: reach the log.
+COORDINATORS = 8
 
 
 class PeerLiveness(enum.Enum):
-    """What is known of another instance."""
+    """What this instance knows about another one.
+
+    ``UNKNOWN`` is an instance without a subscription, or with one that is too new
+    to tell.
+    """
 
     ALIVE = "alive"
     UNKNOWN = "unknown"
@@ -38,38 +44,39 @@
 
 
 def order_key(record: InstanceRecord) -> tuple[float, int]:
-    """Return the place of an instance in the order; the smallest comes first.
+    """Return the sort key of an instance in the fleet order.
 
-    Fast links come first, since a leader sends what it hears to all others.
+    Fast links come first, since a leader relays the messages it receives to all
+    other instances.
     """
     return -record.link_mbps, xxhash.xxh3_64_intdigest(record.name.encode())
 
 
 @attrs.frozen
 class FleetView:
-    """The instances in order, and this one's place.
+    """The instances in fleet order, and the position of this one.
 
-    :param records: every instance known, this one included, in order.
-    :param own_name: this one.
-    :param hearing: what is known of each other one.
+    :param records: all known instances in fleet order, including this one.
+    :param own_name: name of this instance.
+    :param liveness: returns the liveness of another instance by its name.
     """
 
     records: Sequence[InstanceRecord]
     own_name: str
-    hearing: Callable[[str], PeerLiveness]
+    liveness: Callable[[str], PeerLiveness]
 
     @property
     def is_full_mesh(self) -> bool:
-        """Whether everyone listens to everyone."""
-        return len(self.records) <= MAX_DIRECT
+        """Whether every instance subscribes to every other one."""
+        return len(self.records) <= MAX_FULL_MESH
 
     @functools.cached_property
     def position(self) -> int:
-        """This instance's place among those that are not known to be away."""
-        return sum(self.hearing(n) is not PeerLiveness.AWAY for n in self.preceding())
+        """Position of this instance among those that are not known to be away."""
+        return sum(self.liveness(n) is not PeerLiveness.AWAY for n in self.preceding())
 
     def preceding(self) -> frozenset[str]:
-        """Return the names of those that stand before this instance."""
+        """Return the names of the instances before this one in the fleet order."""
         return self._preceding
 
     @functools.cached_property
@@ -79,39 +86,39 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this instance leads a large fleet."""
+        """Whether this instance is a leader of a large fleet."""
         return not self.is_full_mesh and self.position < LEADERS
 
     @property
     def is_coordinator(self) -> bool:
-        """Whether this instance may read the log for others or hold a duty."""
-        return self.is_full_mesh or self.position < COUNCIL
+        """Whether this instance may read the log for others or hold a duty's lease."""
+        return self.is_full_mesh or self.position < COORDINATORS
 
     def present_names(self) -> list[str]:
-        """Return the instances that are not known to be away, in order."""
+        """Return the names of instances not known to be away, in fleet order."""
         return [r.name for r in self.records if self._is_present(r)]
 
     def leaders(self) -> list[InstanceRecord]:
-        """Return those that lead a large fleet, as far as this instance knows."""
+        """Return the leaders of a large fleet, as far as this instance knows."""
         if self.is_full_mesh:
             return []
         return self._until_present(LEADERS, with_away=False)
 
-    def followed(self) -> list[InstanceRecord]:
-        """Return the instances to listen to.
+    def subscription_targets(self) -> list[InstanceRecord]:
+        """Return the instances to subscribe to.
 
-        Those that are away are listened to all the same if they stand before
-        the last one needed, since they take their place again once they are back.
+        This includes instances that are away if they come before the last one
+        needed, since they resume their role once they are back.
         """
         if self.is_full_mesh:
             found = list(self.records)
         else:
-            count = COUNCIL if self.is_leader else LEADERS
+            count = COORDINATORS if self.is_leader else LEADERS
             found = self._until_present(count, with_away=True)
         return [r for r in found if r.name != self.own_name]
 
     def _until_present(self, count: int, with_away: bool) -> list[InstanceRecord]:
-        """Return the first of the order until ``count`` of them are present."""
+        """Return instances from the first until ``count`` of them are present."""
         found = []
         for record in self.records:
             if not count:
@@ -124,4 +131,4 @@
 
     def _is_present(self, record: InstanceRecord) -> bool:
         is_self = record.name == self.own_name
-        return is_self or self.hearing(record.name) is not PeerLiveness.AWAY
+        return is_self or self.liveness(record.name) is not PeerLiveness.AWAY
--- a/src/kumquatseam/peers/_registry.py
+++ b/src/kumquatseam/peers/_registry.py
@@ -1,4 +1,4 @@
-"""Finding the other instances through the log service."""
+"""Discovery of the other instances through the log service."""
 
 import gevent
 
@@ -15,19 +15,19 @@
 
 _log = part_logger("peers")
 
-#: topic with every instance's record under its name.
+#: topic with the record of each instance under the instance's name.
 INSTANCES_TOPIC = "keyed.kumquatseam.instances"
-#: pause between attempts to register, doubling up to the second figure: a log
-#: that is out of reach counts the calls it turns away.
+#: pause between attempts to register, doubled up to the maximum, since the
+#: log service counts the calls that it rejects during an outage.
 RETRY_PAUSE_S = 0.5
 MAX_RETRY_PAUSE_S = 4.0
 
 
 class InstanceRegistry(KeyedListener):
-    """Registers this instance, and listens to those whose records it is given.
+    """Registers this instance, and adds the registered ones to the bus.
 
     :param log: the log service.
-    :param bus: told whom to listen to.
+    :param bus: gets the records of the other instances.
     :param record: this instance's record.
     """
 
@@ -38,16 +38,16 @@
         self._registering: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Register."""
+        """Start registering this instance."""
         self._registering = gevent.spawn(self._register)
 
     def close(self) -> None:
-        """Stop registering; the record stays for a restart at this address."""
+        """Stop registering; the record stays valid for a restart at this address."""
         self._registering.kill()
 
     def take(self, key: str, value: bytes, learning: Learning) -> bool:
         if not value:
-            return self._take_dropped(key, learning)
+            return self._apply_removal(key, learning)
         try:
             record = RECORD_CODEC.decode(value)
         except CodecError as error:
@@ -56,20 +56,23 @@
         self._bus.add(record)
         return True
 
-    def _take_dropped(self, key: str, learning: Learning) -> bool:
+    def _apply_removal(self, key: str, learning: Learning) -> bool:
         if key == self._record.name:
             self._register_again()
             return False
         if learning.is_restored:
-            # Its instance lives as before, and writes it again.
+            # The log was restored from an older copy without the record; the instance
+            # is still up and registers again.
             return False
         self._bus.remove(key)
         return True
 
     def _register_again(self) -> None:
-        """Write the record again: without it new instances do not find this one."""
+        """Write the record again, since new instances discover this one by it."""
         if self._registering is not None and self._registering.ready():
-            _log.bind(instance=self._record.name).warning("Record lost.")
+            _log.bind(instance=self._record.name).warning(
+                "Own record missing from the log; registering again."
+            )
             self.start()
 
     def _register(self) -> None:
@@ -83,7 +86,7 @@
                 _log.bind(address=self._record.address).info("Registered.")
                 return
             except LogServiceError as error:
-                # Registering twice does no harm, so any failure is tried again.
-                _log.bind(error=str(error)).warning("Not registered yet.")
+                # Registering is idempotent, so any failure is retried.
+                _log.bind(error=str(error)).warning("Registration failed; retrying.")
                 gevent.sleep(pause_s)
                 pause_s = min(MAX_RETRY_PAUSE_S, pause_s * 2)
--- a/src/kumquatseam/peers/_round_trip.py
+++ b/src/kumquatseam/peers/_round_trip.py
@@ -1,28 +1,28 @@
-"""How long an answer is waited for."""
+"""Timeout of calls, from measured round-trip times."""
 
-#: weights of the newest measurement in the mean and in the deviation, and how
-#: many deviations are waited for: those of TCP's retransmission timer (RFC 6298).
+#: weights of the newest sample in the mean and in the deviation, and the number of
+#: deviations in the timeout: those of TCP's retransmission timer (RFC 6298).
 _MEAN_WEIGHT = 1 / 8
 _DEVIATION_WEIGHT = 1 / 4
 _DEVIATIONS = 4.0
-#: wait before anything was measured.
+#: timeout before the first sample.
 FIRST_TIMEOUT_S = 0.03
-#: shortest wait: a process that serves a request meanwhile answers this late.
+#: shortest timeout: a process that is busy with a request replies this late.
 MIN_TIMEOUT_S = 0.012
-#: longest wait: a tenth of the shortest usual time that a first answer is aimed
-#: at, since a request is better placed blindly than late.
+#: longest timeout: a tenth of the shortest usual target time to the first token,
+#: since placing a request without the reply is better than placing it late.
 MAX_TIMEOUT_S = 0.05
 
 
 class RoundTripEstimate:
-    """How long answers of other instances take, from those that came."""
+    """Smoothed round-trip time of the replies of other instances."""
 
     def __init__(self) -> None:
         self._mean_s: float | None = None
         self._deviation_s = 0.0
 
-    def note(self, took_s: float) -> None:
-        """Take in how long an answer took."""
+    def observe(self, took_s: float) -> None:
+        """Add a measured round-trip time."""
         if self._mean_s is None:
             self._mean_s, self._deviation_s = took_s, took_s / 2
             return
@@ -32,7 +32,7 @@
 
     @property
     def timeout_s(self) -> float:
-        """How long to wait for the next answer."""
+        """Timeout of the next call."""
         if self._mean_s is None:
             return FIRST_TIMEOUT_S
         expected_s = self._mean_s + _DEVIATIONS * self._deviation_s
