--- a/features/steps/fleet_rollout_steps.py
+++ b/features/steps/fleet_rollout_steps.py
@@ -66,7 +66,7 @@
     def role(self, engine):
         return "serving"
 
-    def give(self, target, order):
+    def send(self, target, order):
         if target.name not in self.never:
             self.loaded_s.setdefault(target.name, self.clock() + LOAD_S)
 
--- a/features/steps/matrix_world.py
+++ b/features/steps/matrix_world.py
@@ -136,7 +136,7 @@
         world.script.hit("end", world, target.name)
         yield EngineChunk("", None, 40, 0, request.max_tokens)
 
-    def give(self, target, order) -> None:
+    def send(self, target, order) -> None:
         engine = self._world.engines[target.name]
         self._world.script.hit("order", self._world, target.name)
         if engine.checks_fences and order.fence < engine.highest_fence:
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -85,7 +85,7 @@
 
 @when("the peer is suspected")
 def step_suspected(context):
-    context.summaries.on_state("peer", SUSPECT)
+    context.summaries.on_peer_state("peer", SUSPECT)
 
 
 @then("the router counts {count:d} requests and no opening there")
--- a/src/kumquatseam/bench/_modelled.py
+++ b/src/kumquatseam/bench/_modelled.py
@@ -207,7 +207,7 @@
     def _exchange_summaries(self) -> None:
         peers = len(self._routers) - 1
         for sender, router in enumerate(self._routers):
-            summary = router.summaries.take(peers)
+            summary = router.summaries.build_summary(peers)
             heartbeat = Heartbeat(router.name, "", 0, 0, (), summary)
             for receiver in range(len(self._routers)):
                 if receiver != sender:
@@ -231,7 +231,7 @@
         if self._scenario.is_warm_start and self._warm is not None:
             for router in self._routers:
                 for blocks in self._warm.engines:
-                    router.router.index.adopt(blocks, self._now_s)
+                    router.router.index.merge(blocks, self._now_s)
 
     def _arrive(self, request: ModelledRequest) -> None:
         salt = cache_salt(request.team, MODEL.name, MODEL.version)
@@ -246,7 +246,7 @@
             refused = self._refused.get(request.priority_class, 0)
             self._refused[request.priority_class] = refused + 1
             return
-        router.router.fleet.begin(name, rank)
+        router.router.fleet.add_in_flight(name, rank)
         self._owners[request.number] = router
         self._engines[name].enqueue(request, keys, rank)
         self._start_waiting(self._engines[name])
@@ -305,8 +305,8 @@
         engine.finish()
         rank = self._configuration.priority(request.priority_class).rank
         router = self._owners.pop(request.number).router
-        router.fleet.end(engine.name, rank)
+        router.fleet.remove_in_flight(engine.name, rank)
         decision = self._decisions.pop(request.number, None)
         if decision is not None:
-            router.learn_served(decision)
+            router.record_served(decision)
         self._start_waiting(engine)
--- a/src/kumquatseam/engines/_orders.py
+++ b/src/kumquatseam/engines/_orders.py
@@ -87,7 +87,7 @@
     """Gives engines orders."""
 
     @abc.abstractmethod
-    def give(self, target: EngineTarget, order: EngineOrder) -> None:
+    def send(self, target: EngineTarget, order: EngineOrder) -> None:
         """Give ``target`` an order; returns once it accepted.
 
         :raises OrderRefusedError: if it refused.
@@ -104,7 +104,7 @@
     def __init__(self, timeout_s: float) -> None:
         self._pool = urllib3.PoolManager(retries=False, timeout=timeout_s)
 
-    def give(self, target: EngineTarget, order: EngineOrder) -> None:
+    def send(self, target: EngineTarget, order: EngineOrder) -> None:
         body = {"op": _OPERATIONS[type(order)], **attrs.asdict(order)}
         try:
             response = self._pool.request(
--- a/src/kumquatseam/fleet/_rollout.py
+++ b/src/kumquatseam/fleet/_rollout.py
@@ -140,7 +140,7 @@
         order = self._order(due, fence)
         _log.info("Ordering engine={} {}.", due.engine, order)
         try:
-            self._orders.give(EngineTarget(upstream.name, upstream.url), order)
+            self._orders.send(EngineTarget(upstream.name, upstream.url), order)
         except OrderRefusedError as error:
             _log.info("{}.", error)
             return False
--- a/src/kumquatseam/routing/__init__.py
+++ b/src/kumquatseam/routing/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from kumquatseam.routing._fleet import FleetView
-from kumquatseam.routing._held_out import HeldOut
+from kumquatseam.routing._held_out import FailureCooldowns
 from kumquatseam.routing._hints import PlacementHints
 from kumquatseam.routing._index import PrefixIndex
 from kumquatseam.routing._peers import PeerSummaries
@@ -23,7 +23,7 @@
     "AffinityPolicy",
     "Candidate",
     "FleetView",
-    "HeldOut",
+    "FailureCooldowns",
     "LeastLoadedPolicy",
     "PeerSummaries",
     "PlacementHints",
--- a/src/kumquatseam/routing/_fleet.py
+++ b/src/kumquatseam/routing/_fleet.py
@@ -14,7 +14,7 @@
 
 from kumquatseam.engines import SERVING, LoadReport, ModelVersion
 from kumquatseam.fleet import EngineReports, RankCounts
-from kumquatseam.routing._held_out import HeldOut
+from kumquatseam.routing._held_out import FailureCooldowns
 
 #: seconds over which the most counted on an engine is remembered: longer than
 #: a load report takes from its sampling to its arrival.
@@ -93,7 +93,7 @@
         self._dead_after_s = dead_after_s
         self._clock = clock
         self._engines: dict[str, _EngineState] = {}
-        self._failed = HeldOut()
+        self._failed = FailureCooldowns()
 
     def set_engines(self, names: Iterable[str], now_s: float) -> None:
         """Know exactly the engines called ``names``, keeping what is known.
@@ -168,7 +168,7 @@
 
     def mark_failed(self, engine: str, now_s: float) -> None:
         """Keep ``engine`` out of routing for a while after a failure."""
-        self._failed.hold(engine, now_s)
+        self._failed.start(engine, now_s)
 
     def is_live(self, engine: str, now_s: float) -> bool:
         """Return whether ``engine`` may take new work.
@@ -177,7 +177,7 @@
         fresh router serves at once; silent for longer, it does not.
         """
         state = self._engines.get(engine)
-        if state is None or state.dead or self._failed.holds(engine, now_s):
+        if state is None or state.dead or self._failed.is_active(engine, now_s):
             return False
         since_s = state.last_heard_s
         if since_s is None:
@@ -193,7 +193,7 @@
         state = self._engines.get(engine)
         if state is None or state.last_heard_s is not None:
             return False
-        return not self._failed.holds(engine, now_s)
+        return not self._failed.is_active(engine, now_s)
 
     def newly_dead(self, now_s: float) -> list[str]:
         """Return engines that went silent, forgetting their epoch."""
--- a/src/kumquatseam/routing/_held_out.py
+++ b/src/kumquatseam/routing/_held_out.py
@@ -4,7 +4,7 @@
 HOLD_S = 1.0
 
 
-class HeldOut:
+class FailureCooldowns:
     """Names held out for a fixed time after their last failure.
 
     :param hold_s: how long a failure holds a name out.
--- a/src/kumquatseam/routing/_router.py
+++ b/src/kumquatseam/routing/_router.py
@@ -152,14 +152,14 @@
             self.index.drop(engine)
         self.hints.sweep(now_s)
 
-    def learn_served(self, decision: RoutingDecision) -> None:
+    def record_served(self, decision: RoutingDecision) -> None:
         """Note that the engine served the prompt, so it holds its blocks now."""
         if decision.epoch is not None:
             self.index.confirm(
                 decision.upstream.name, decision.epoch, decision.keys, self._clock()
             )
 
-    def learn_mismatch(
+    def record_mismatch(
         self, engine: str, model: str, error: EngineMismatchError
     ) -> None:
         """Take an engine's word on its life and weights after it refused."""
--- a/src/kumquatseam/serving/_completions.py
+++ b/src/kumquatseam/serving/_completions.py
@@ -248,7 +248,7 @@
             raise error
 
     def _outcome(self, decision: RoutingDecision, attempts: _Attempts) -> AnswerOutcome:
-        self._router.learn_served(decision)
+        self._router.record_served(decision)
         return AnswerOutcome(decision.upstream.name, attempts.count, attempts.usage)
 
     def _route(self, completion: Completion, attempts: _Attempts) -> RoutingDecision:
@@ -297,7 +297,7 @@
         )
         target = EngineTarget(name, decision.upstream.url)
         attempts.first_chunk_s = None
-        self._router.fleet.begin(name, completion.priority.rank)
+        self._router.fleet.add_in_flight(name, completion.priority.rank)
         chunks = self._engines.stream(target, request)
         try:
             for chunk in chunks:
@@ -312,7 +312,7 @@
                 yield chunk
         finally:
             chunks.close()
-            self._router.fleet.end(name, completion.priority.rank)
+            self._router.fleet.remove_in_flight(name, completion.priority.rank)
 
     def _take_mismatch(
         self,
@@ -327,7 +327,7 @@
         if attempts.mismatches > MAX_MISMATCHES:
             raise UpstreamError(name, attempts.may_have_run, str(error)) from error
         attempts.count -= 1
-        self._router.learn_mismatch(name, completion.model, error)
+        self._router.record_mismatch(name, completion.model, error)
         _log.info(
             "request={} refused by {}: epoch={} version={}.",
             completion.request_id,
--- a/src/kumquatseam/serving/_services.py
+++ b/src/kumquatseam/serving/_services.py
@@ -21,7 +21,7 @@
     RunUpstream,
     fingerprint,
 )
-from kumquatseam.routing import HeldOut
+from kumquatseam.routing import FailureCooldowns
 from kumquatseam.services import ServiceAnswer, ServiceCall, ServiceClient
 from kumquatseam.serving._parts import ServingParts
 from kumquatseam.serving._running import RunningRequest
@@ -47,7 +47,7 @@
         self._services = services
         self._parts = parts
         self._turn = itertools.count()
-        self._held_out = HeldOut()
+        self._held_out = FailureCooldowns()
 
     def serve(
         self,
@@ -134,7 +134,7 @@
                 started |= error.started
                 self._note_broken(permission, url, error)
                 excluded.add(url)
-                self._held_out.hold(url, self._parts.clock())
+                self._held_out.start(url, self._parts.clock())
                 last_attempt = attempt >= self._parts.admission.max_attempts
                 if last_attempt or (started and not repeatable):
                     raise UpstreamError(url, started, error.detail) from error
@@ -177,6 +177,6 @@
         open_urls = [url for url in service.urls if url not in excluded]
         if not open_urls:
             return None
-        sound = [url for url in open_urls if not self._held_out.holds(url, now_s)]
+        sound = [url for url in open_urls if not self._held_out.is_active(url, now_s)]
         choices = sound or open_urls
         return choices[next(self._turn) % len(choices)]
--- a/src/kumquatseam/wiring.py
+++ b/src/kumquatseam/wiring.py
@@ -188,7 +188,7 @@
         )
 
         def follow(configuration: Configuration) -> None:
-            subscriber.follow(u.events_address for u in configuration.upstreams)
+            subscriber.set_addresses(u.events_address for u in configuration.upstreams)
 
         follow(self._live.current)
         self._live.on_change(follow)
@@ -238,7 +238,7 @@
     def _peer_parts(self, membership: Membership) -> list:
         settings = self._settings.fleet
         summaries = PeerSummaries(self._router, settings)
-        membership.on_state(summaries.on_state)
+        membership.on_state(summaries.on_peer_state)
         sources = AnswerSources(
             membership.name,
             self._live,
@@ -260,7 +260,7 @@
             membership,
             settings,
             lambda: self._live.next_offset,
-            summaries.take,
+            summaries.build_summary,
             handler.receive_reply,
         )
         self._control = ReplyServer(settings.control, CONTROL_CODEC, handler.reply)
@@ -347,7 +347,7 @@
     def _adopt(self, state: WarmState) -> int:
         now_s = time.monotonic()
         index = self._router.index
-        return sum(index.adopt(blocks, now_s) for blocks in state.engines)
+        return sum(index.merge(blocks, now_s) for blocks in state.engines)
 
 
 def _build_router(
