--- a/features/control_rules.feature
+++ b/features/control_rules.feature
@@ -1,31 +1,31 @@
-Feature: Rules of the control path that need no processes
-  The daemon's own classes, called directly.
+Feature: Rules of the control plane, tested without processes
+  The steps call the daemon's classes directly.
 
   Scenario: An older configuration never replaces a newer one
-    Given a live configuration with 9 records in force
-    When a configuration with 8 records arrives late
-    Then 9 records stay in force
+    Given a current configuration built from 9 log records
+    When a configuration built from 8 log records arrives late
+    Then the configuration built from 9 log records stays current
 
-  Scenario: A retry budget bounds a herd
+  Scenario: A retry budget limits a burst of retries
     Given a retry budget of 0.2 with a slack of 4 shared by 2 routers
-    When 20 requests arrive and each asks for a retry
+    When 20 requests arrive and each attempts a retry
     Then 6 retries are allowed
 
-  Scenario: A peer that falls silent no longer counts
-    Given a router that heard a peer speak of 5 requests and an opening on "e0"
+  Scenario: The load and placements of a suspected peer are dropped
+    Given a router whose peer reported 5 requests and a placed prefix on "e0"
     When the peer is suspected
-    Then the router counts 0 requests and no opening there
+    Then the router counts 0 requests and no placed prefix there
 
-  Scenario: A step that fails does not end its loop
+  Scenario: A loop continues after a failed step
     Given a loop whose step fails the first 2 times
-    Then the step soon ran 5 times
+    Then the step runs at least 5 times within 0.5 s
 
-  Scenario: A large configuration is read whole from the log's pages
-    Given a log service holding 1200 teams
+  Scenario: A large configuration is read completely although it changes between pages
+    Given a log service that stores 1200 teams
     When a team changes while the pages are read
-    Then all 1200 teams are read, the changed one as changed
+    Then all 1200 teams are read, the changed one with its new values
 
-  Scenario Outline: A fault in the language is pointed at: <text>
+  Scenario Outline: A syntax error in a command is reported with its column: <text>
     Then "<text>" is refused at column <column>
 
     Examples:
--- a/features/steps/index_steps.py
+++ b/features/steps/index_steps.py
@@ -1,4 +1,4 @@
-"""Steps that feed the prefix index directly, without processes."""
+"""Steps that call the prefix index directly, without processes."""
 
 from behave import given, then, when
 
@@ -23,8 +23,8 @@
     context.index.apply(_batch(context, engine, epoch, 1, count), 1.0)
 
 
-@when('engine "{engine}" shows epoch "{epoch}"')
-def step_epoch(context, engine, epoch):
+@when('engine "{engine}" reports epoch "{epoch}"')
+def step_report_epoch(context, engine, epoch):
     context.index.observe_epoch(engine, epoch)
 
 
@@ -39,15 +39,15 @@
 
 
 @then('the index holds {count:d} blocks of engine "{engine}"')
-def step_holds(context, count, engine):
+def step_block_count(context, count, engine):
     assert context.index.size_blocks(engine) == count, context.index.size_blocks(engine)
 
 
-@then('the index says engine "{engine}" runs in epoch "{epoch}"')
-def step_says_epoch(context, engine, epoch):
+@then('the index has epoch "{epoch}" for engine "{engine}"')
+def step_has_epoch(context, engine, epoch):
     assert context.index.epoch(engine) == epoch, context.index.epoch(engine)
 
 
 @when('engine "{engine}" serves a prompt of {count:d} blocks in epoch "{epoch}"')
-def step_serves(context, engine, count, epoch):
+def step_serve(context, engine, count, epoch):
     context.index.confirm(engine, epoch, tuple(range(count)), 3.0)
--- a/src/kumquatseam/engines/__init__.py
+++ b/src/kumquatseam/engines/__init__.py
@@ -1,8 +1,8 @@
-"""Everything the router needs to talk to model engines.
+"""Communication with model engines: completions, orders, cache events and loads.
 
 - :class:`EngineClient` streams completions; :class:`HttpEngineClient` does so
   over HTTP.
-- :class:`EngineOrderClient` gives engines orders under a fencing token.
+- :class:`EngineOrderClient` sends engines orders under a fencing token.
 - :class:`EngineEventSubscriber` receives cache events and load reports.
 - :func:`tokenize`, :func:`cache_salt`, :func:`salt_seed` and
   :func:`block_keys` compute block keys exactly as engines do.
--- a/src/kumquatseam/engines/_blocks.py
+++ b/src/kumquatseam/engines/_blocks.py
@@ -1,16 +1,17 @@
-"""Tokens and block keys: the part of the engine protocol both sides compute.
+"""Tokens and block keys, which the router and the engines compute alike.
 
 Engines cache KV state per block of ``block_size_tokens`` tokens. A block's key
-is an xxHash (XXH3, 64 bit) chained from its parent's key, so a key names the
-whole opening up to and including that block. The first block's seed is the
-hash of the cache salt the router sends (team, model and version, see
-:func:`cache_salt`). Hence a key can only match work of the same team and the
-same weights. The engine's epoch, which changes at every engine start, scopes
-the router's index entries (see :mod:`kumquatseam.routing`), so a key is never
-credited to an engine's earlier life.
-
-Tokenisation is a documented whitespace split (no tokenizer library fits
-without downloading a vocabulary); stand-in engines and the router share it.
+is an xxHash (XXH3, 64 bit) seeded with the key of the previous block, so that
+it identifies the whole prefix up to and including that block. The first block's
+seed is the hash of the cache salt sent by the router (team, model and version,
+see :func:`cache_salt`). A key therefore only matches requests of the same team
+and the same weights. It does not depend on the engine's epoch, which changes at
+every engine start: the router's index is scoped by epoch instead (see
+:mod:`kumquatseam.routing`), so that no cached block of an earlier epoch is
+credited to an engine.
+
+Tokens are split at whitespace, because every tokenizer library needs a
+downloaded vocabulary; stand-in engines and the router share this function.
 
 Example::
 
@@ -28,30 +29,25 @@
 
 
 def tokenize(text: str) -> list[str]:
-    """Split ``text`` into tokens: maximal runs of non-space characters.
-
-    :param text: the prompt.
-    :returns: the tokens in order.
-    """
+    """Split ``text`` into tokens: maximal runs of non-space characters."""
     return _TOKEN.findall(text)
 
 
 def cache_salt(team: str, model: str, version: str) -> str:
-    """Return the cache salt that scopes blocks to a team and model version.
+    """Return the cache salt that scopes blocks to a team and weights version.
 
     :param team: the team's name.
     :param model: the model's name.
     :param version: the weights version.
-    :returns: a hex string sent to engines as ``cache_salt``.
+    :returns: a hex string, sent to engines as ``cache_salt``.
     """
     return xxhash.xxh3_128_hexdigest(f"{team}\x1f{model}\x1f{version}".encode())
 
 
 def salt_seed(salt: str) -> int:
-    """Return the seed of the first block for a cache salt.
+    """Return the 64-bit seed of the first block.
 
     :param salt: from :func:`cache_salt`.
-    :returns: a 64-bit seed.
     """
     return xxhash.xxh3_64_intdigest(salt.encode())
 
--- a/src/kumquatseam/engines/_client.py
+++ b/src/kumquatseam/engines/_client.py
@@ -1,4 +1,4 @@
-"""HTTP client for engines' OpenAI-compatible completions endpoint."""
+"""Client of the engines' OpenAI-compatible completions endpoint."""
 
 import abc
 import json
@@ -14,23 +14,24 @@
 _DONE = "[DONE]"
 _OK = 200
 _MISDIRECTED = 421
-_SERVER_FAULTS = range(500, 600)
-#: header by which an engine says it did not run a request it refused.
+_SERVER_ERRORS = range(500, 600)
+#: response header of a refused request that was not run.
 NOT_EXECUTED_HEADER = "X-Not-Executed"
-#: headers by which an engine that refuses a request names itself.
+#: response headers of a refused request: the engine's epoch and weights version.
 EPOCH_HEADER = "X-Engine-Epoch"
 VERSION_HEADER = "X-Model-Version"
 
 
 @attrs.frozen
 class EngineChunk:
-    """One piece of an engine's streamed answer.
-
-    :param text: generated text of this piece (may be empty).
-    :param finish_reason: ``None`` until the last piece, then e.g. ``"length"``.
-    :param prompt_tokens: set on the usage piece at the end, else ``None``.
-    :param cached_tokens: prompt tokens the engine served from its cache.
-    :param completion_tokens: tokens generated, on the usage piece.
+    """One chunk of an engine's streamed response.
+
+    :param text: generated text of this chunk (may be empty).
+    :param finish_reason: ``None`` until the last text, then e.g. ``"length"``.
+    :param prompt_tokens: set on the final usage chunk, else ``None``.
+    :param cached_tokens: prompt tokens served from the engine's cache; set on the
+        usage chunk if the engine sends it.
+    :param completion_tokens: generated tokens, set on the usage chunk.
     """
 
     text: str
@@ -42,18 +43,20 @@
 
 @attrs.frozen
 class EngineRequest:
-    """What the router asks an engine to do.
+    """A completion request from the router to an engine.
 
-    :param request_id: the router's id, sent end to end.
-    :param model: model name.
+    :param request_id: id given by the router; the engine returns it in its chunks.
+    :param model: the model's name.
     :param prompt: the full prompt text.
-    :param max_tokens: tokens to generate at most.
-    :param cache_salt: scopes cached blocks to team and model version.
+    :param max_tokens: maximum number of tokens to generate.
+    :param cache_salt: scopes cached blocks to a team and weights version.
     :param priority_rank: ``0`` is the most urgent.
-    :param expected_version: the engine refuses if it runs other weights.
-    :param expected_epoch: the engine refuses if it is in another life.
-    :param resume_after_tokens: tokens of the same answer the caller already
-        has; the engine goes on after them.
+    :param expected_version: if set, the engine refuses the request if it runs
+        other weights.
+    :param expected_epoch: if set, the engine refuses the request if its epoch
+        differs.
+    :param resume_after_tokens: tokens of the same response that the caller
+        already received; the engine continues after them.
     """
 
     request_id: str
@@ -69,9 +72,9 @@
 
 @attrs.frozen
 class EngineTarget:
-    """Where an engine is.
+    """Address of an engine.
 
-    :param name: its name, for errors.
+    :param name: the engine's name, for error messages.
     :param url: its base URL.
     """
 
@@ -86,27 +89,28 @@
     def stream(
         self, target: EngineTarget, request: EngineRequest
     ) -> Iterator[EngineChunk]:
-        """Send ``request`` and yield its answer in the engine's order.
+        """Send ``request`` and yield the chunks of the response in order.
 
-        A piece that carries another request's id ends the answer with an
-        error, so a crossed answer never reaches the wrong caller. Closing the
-        iterator early closes the connection, which cancels the work.
+        A chunk with another request's id ends the response with an error, so
+        that no caller receives the response to another request. Closing the
+        iterator early closes the connection, which cancels the request.
 
-        :raises EngineMismatchError: if it runs other weights or is in another
-            life than expected; nothing was run.
-        :raises UpstreamError: ``started=False`` only if it provably never ran.
+        :raises EngineMismatchError: if the engine's weights or epoch differ from
+            the expected ones; nothing was run.
+        :raises UpstreamError: if the request failed; ``started=False`` only if it
+            was certainly never run.
         """
 
 
 class HttpEngineClient(EngineClient):
     """Streams completions over pooled HTTP connections.
 
-    Connections that went silent for good are dropped together
-    (:mod:`kumquatseam.pools`).
+    A timeout while waiting for a response drops the idle connections to that
+    engine (:mod:`kumquatseam.pools`).
 
     :param connect_timeout_s: timeout to connect.
     :param read_timeout_s: timeout between two reads.
-    :param first_byte_timeout_s: timeout until the answer begins.
+    :param first_byte_timeout_s: timeout until the first byte of the response.
     """
 
     def __init__(
@@ -122,7 +126,7 @@
         self._pools = AddressPools()
 
     def start(self) -> None:
-        """Connections open as requests need them."""
+        """Do nothing: connections are opened on demand."""
 
     def close(self) -> None:
         """Close every pooled connection."""
@@ -162,10 +166,12 @@
             yield from _chunks(target.name, request.request_id, response)
             finished = True
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
-            raise UpstreamError(target.name, True, f"answer broke: {error}") from error
+            raise UpstreamError(
+                target.name, True, f"response failed: {error}"
+            ) from error
         finally:
-            # An unfinished answer must not go back to the pool: its remains
-            # would be read as the next request's answer.
+            # A connection with an unfinished response must not return to the
+            # pool: the rest would be read as the next request's response.
             if finished:
                 response.release_conn()
             else:
@@ -189,7 +195,7 @@
 
 
 def _set_read_timeout(response, timeout_s: float) -> None:
-    """Give the rest of an answer its own timeout, now that it has begun."""
+    """Set the timeout of further reads once the response has started."""
     connection = response.connection
     if connection is not None and connection.sock is not None:
         connection.sock.settimeout(timeout_s)
@@ -205,21 +211,23 @@
             response.headers.get(VERSION_HEADER),
         )
     not_run = NOT_EXECUTED_HEADER in response.headers
-    started = response.status in _SERVER_FAULTS and not not_run
+    started = response.status in _SERVER_ERRORS and not not_run
     raise UpstreamError(upstream, started, f"HTTP {response.status}")
 
 
 def _chunks(upstream: str, request_id: str, response) -> Iterator[EngineChunk]:
     for event in sseclient.SSEClient(response.stream(1024)).events():
         if event.data == _DONE:
-            # Read to the end of the body so the connection can be reused.
+            # Read the rest of the body, so that the connection can be reused.
             response.drain_conn()
             return
         data = json.loads(event.data)
         if data.get("id", request_id) != request_id:
-            raise UpstreamError(upstream, True, f"crossed answer {data['id']}")
+            raise UpstreamError(
+                upstream, True, f"response to another request: {data['id']}"
+            )
         yield _chunk_from(data)
-    raise UpstreamError(upstream, True, "answer ended before [DONE]")
+    raise UpstreamError(upstream, True, "response ended before [DONE]")
 
 
 def _chunk_from(data: dict) -> EngineChunk:
--- a/src/kumquatseam/engines/_messages.py
+++ b/src/kumquatseam/engines/_messages.py
@@ -1,7 +1,7 @@
-"""Messages engines publish about their cache and load, and their codec.
+"""Messages that engines publish about their cache and load, and their codec.
 
-Engines publish on an nng pub socket. Messages arrive late and some never
-arrive: ``sequence`` numbers let a subscriber see the gaps.
+Engines publish on an nng pub socket. Messages may arrive late or be lost; a
+subscriber detects gaps in the cache events by their ``sequence`` numbers.
 """
 
 import attrs
@@ -14,12 +14,13 @@
 
 @attrs.frozen
 class CacheEventBatch:
-    """Blocks an engine stored and removed since its previous batch.
+    """Blocks that an engine stored and removed since its previous batch.
 
     :param engine: the engine's name.
-    :param epoch: the engine's life; a new epoch means an empty cache.
-    :param sequence: batch number within the epoch, from 1, without gaps as
-        sent; a gap as received means lost events.
+    :param epoch: changes at every start of the engine; a new epoch means an
+        empty cache.
+    :param sequence: number of the batch within the epoch, consecutive from 1; a
+        gap between received batches means lost events.
     :param stored_keys: block keys newly cached.
     :param removed_keys: block keys evicted.
     """
@@ -33,10 +34,10 @@
 
 @attrs.frozen
 class ModelVersion:
-    """The weights of one model an engine runs.
+    """The weights that an engine runs of one model.
 
     :param model: the model's name.
-    :param version: its weights version.
+    :param version: the weights version.
     :param adapters: the adapters loaded with it.
     """
 
@@ -47,15 +48,15 @@
 
 @attrs.frozen
 class LoadReport:
-    """An engine's load as it stood ``lag`` ago.
+    """An engine's load at some earlier moment, as reports are delayed.
 
     :param engine: the engine's name.
-    :param epoch: the engine's life.
+    :param epoch: the engine's epoch, as in :class:`CacheEventBatch`.
     :param running_requests: requests being decoded.
     :param waiting_requests: requests queued for a slot.
     :param cache_usage_ratio: used share of the KV cache, 0 to 1.
-    :param versions: the weights it runs.
-    :param role: ``"serving"``, or ``"standby"`` if it takes no completions.
+    :param versions: the weights it runs, per model.
+    :param role: ``"serving"``, or ``"standby"`` if it accepts no completions.
     """
 
     engine: str
@@ -81,6 +82,6 @@
 def decode_message(data: bytes) -> EngineMessage:
     """Decode a message from the wire.
 
-    :raises CodecError: if the bytes are not a known message.
+    :raises CodecError: if ``data`` is no valid message.
     """
     return _CODEC.decode(data)
--- a/src/kumquatseam/engines/_orders.py
+++ b/src/kumquatseam/engines/_orders.py
@@ -1,4 +1,8 @@
-"""Orders to engines, each under a fencing token from the log."""
+"""Orders to engines, each with a fencing token from the log.
+
+The sender holds the rollout lease. The fencing token is the offset of the lease
+record in the log, so that an engine can refuse orders of an earlier holder.
+"""
 
 import abc
 import json
@@ -19,9 +23,10 @@
     :param model: the model's name.
     :param version: the weights version to load.
     :param adapters: the adapters to load with it.
-    :param holder: the daemon that holds the duty.
-    :param fence: the duty's fencing token: the offset of its lease record.
-    :param expected_epoch: the engine's life the order is meant for.
+    :param holder: the daemon that holds the rollout lease.
+    :param fence: the lease's fencing token.
+    :param expected_epoch: if set, the engine refuses the order if its epoch
+        differs.
     """
 
     model: str
@@ -34,12 +39,13 @@
 
 @attrs.frozen
 class RoleOrder:
-    """An order to change role.
+    """An order to change the engine's role.
 
     :param role: ``"serving"`` or ``"standby"``.
-    :param holder: the daemon that holds the duty.
-    :param fence: the duty's fencing token.
-    :param expected_epoch: the engine's life the order is meant for.
+    :param holder: the daemon that holds the rollout lease.
+    :param fence: the lease's fencing token.
+    :param expected_epoch: if set, the engine refuses the order if its epoch
+        differs.
     """
 
     role: str
@@ -54,49 +60,49 @@
 
 @attrs.define(frozen=True, eq=False)
 class OrderRefusedError(KumquatseamError):
-    """An engine refused an order and did not carry it out.
+    """An engine refused an order and did not execute it.
 
     :param upstream: the engine's name.
-    :param status: ``412`` for an old fencing token, ``409`` while another
-        order is carried out, ``421`` for another life.
+    :param status: HTTP status: ``412`` for an old fencing token, ``409`` while
+        another order is executed, ``421`` if the epoch differs.
     """
 
     upstream: str
     status: int
 
     def __str__(self) -> str:
-        return f"engines: {self.upstream} refused the order: {self.status}"
+        return f"engines: {self.upstream} refused the order: HTTP {self.status}"
 
 
 @attrs.define(frozen=True, eq=False)
 class OrderUnansweredError(KumquatseamError):
-    """An order got no answer: it may be carried out, now or later.
+    """An order got no response, so the engine may execute it now, later or never.
 
     :param upstream: the engine's name.
-    :param detail: how the connection ended.
+    :param detail: how the connection failed.
     """
 
     upstream: str
     detail: str
 
     def __str__(self) -> str:
-        return f"engines: {self.upstream} left the order unanswered: {self.detail}"
+        return f"engines: no response from {self.upstream} to the order: {self.detail}"
 
 
 class EngineOrderClient(abc.ABC):
-    """Gives engines orders."""
+    """Sends orders to engines."""
 
     @abc.abstractmethod
     def send(self, target: EngineTarget, order: EngineOrder) -> None:
-        """Give ``target`` an order; returns once it accepted.
+        """Send an order and return once ``target`` has accepted it.
 
-        :raises OrderRefusedError: if it refused.
-        :raises OrderUnansweredError: if it did not answer.
+        :raises OrderRefusedError: if the engine refused the order.
+        :raises OrderUnansweredError: if the engine did not respond.
         """
 
 
 class HttpEngineOrderClient(EngineOrderClient):
-    """Gives orders over HTTP, ``POST /v1/orders``.
+    """Sends orders over HTTP, ``POST /v1/orders``.
 
     :param timeout_s: timeout of one order.
     """
--- a/src/kumquatseam/routing/__init__.py
+++ b/src/kumquatseam/routing/__init__.py
@@ -1,10 +1,10 @@
-"""Prefix-aware routing: the index, the fleet view, the policies, the router.
+"""Prefix-aware routing: prefix index, fleet view, routing policies and router.
 
 Use :class:`Router` with a policy from :func:`build_policy`.
 """
 
+from kumquatseam.routing._cooldowns import FailureCooldowns
 from kumquatseam.routing._fleet import FleetView
-from kumquatseam.routing._held_out import FailureCooldowns
 from kumquatseam.routing._hints import PlacementHints
 from kumquatseam.routing._index import PrefixIndex
 from kumquatseam.routing._peers import PeerSummaries
--- a/src/kumquatseam/routing/_hints.py
+++ b/src/kumquatseam/routing/_hints.py
@@ -1,63 +1,70 @@
-"""Where openings were placed lately, by this router and by its peers.
+"""Recent placements of prompt prefixes, by this router and by its peers.
 
-Engines' cache events come late. A placement is known at once: this router's
-own, and its peers' through the summaries they send. A hint says an engine
-was just given a prompt with an opening, so it probably holds it already.
-Hints expire, and a peer that is suspected loses all of its own at once.
+Engines' cache events arrive late. A placement is known earlier: this router's
+own at once, its peers' from the summaries they send. A hint records that a
+prompt with a given prefix was just sent to an engine, which therefore probably
+caches that prefix already. Hints expire, and all hints of a peer are dropped
+as soon as it is suspected of having failed.
 """
 
 from collections.abc import Iterable
 
 from kumquatseam.fleet import Placement
 
-#: who a hint of this router itself comes from.
+#: source under which this router's own hints are stored.
 OWN = ""
 
 
 class PlacementHints:
     """Recent placements by source.
 
-    :param ttl_s: a hint not renewed for this long is forgotten.
+    :param ttl_s: time after which a hint that was not renewed expires.
     """
 
     def __init__(self, ttl_s: float) -> None:
         self._ttl_s = ttl_s
         self._seen_s: dict[str, dict[Placement, float]] = {}
-        self._fresh: dict[Placement, None] = {}
+        self._unsent: dict[Placement, None] = {}
 
-    def note_own(self, opening: int, engine: str, now_s: float) -> None:
-        """Note a placement this router made, for its peers."""
-        placement = Placement(opening, engine)
+    def note_own(self, prefix_key: int, engine: str, now_s: float) -> None:
+        """Record a placement by this router and queue it for its peers."""
+        placement = Placement(prefix_key, engine)
         own = self._seen_s.setdefault(OWN, {})
         if placement not in own or now_s - own[placement] > self._ttl_s / 2:
             own[placement] = now_s
-            self._fresh[placement] = None
+            self._unsent[placement] = None
 
-    def take_fresh(self, limit: int) -> tuple[Placement, ...]:
-        """Return up to ``limit`` own placements not yet told, newest first."""
-        taken = []
-        while self._fresh and len(taken) < max(0, limit):
-            taken.append(self._fresh.popitem()[0])
-        self._fresh.clear()
-        return tuple(taken)
+    def pop_unsent_placements(self, limit: int) -> tuple[Placement, ...]:
+        """Return up to ``limit`` own unsent placements, newest first.
+
+        The unsent placements beyond ``limit`` are discarded.
+        """
+        popped = []
+        while self._unsent and len(popped) < max(0, limit):
+            popped.append(self._unsent.popitem()[0])
+        self._unsent.clear()
+        return tuple(popped)
 
     def note_peer(
         self, peer: str, placements: Iterable[Placement], now_s: float
     ) -> None:
-        """Take in placements ``peer`` made."""
+        """Record placements made by ``peer``."""
         known = self._seen_s.setdefault(peer, {})
         for placement in placements:
             known[placement] = now_s
 
     def forget_peer(self, peer: str) -> None:
-        """Stop counting on everything ``peer`` said."""
+        """Drop all hints from ``peer``."""
         self._seen_s.pop(peer, None)
 
-    def names(self, opening: int, engine: str, now_s: float) -> bool:
-        """Return whether a peer placed ``opening`` on ``engine`` lately."""
-        if not opening:
+    def was_placed_by_peer(self, prefix_key: int, engine: str, now_s: float) -> bool:
+        """Return whether a peer recently sent a prompt with this prefix to ``engine``.
+
+        :param prefix_key: block key of the prefix, ``0`` for a prompt without one.
+        """
+        if not prefix_key:
             return False
-        placement = Placement(opening, engine)
+        placement = Placement(prefix_key, engine)
         for source, known in self._seen_s.items():
             if source == OWN:
                 continue
@@ -67,7 +74,7 @@
         return False
 
     def sweep(self, now_s: float) -> None:
-        """Forget expired hints."""
+        """Drop expired hints."""
         for known in self._seen_s.values():
             for placement in [p for p, s in known.items() if now_s - s >= self._ttl_s]:
                 del known[placement]
--- a/src/kumquatseam/routing/_index.py
+++ b/src/kumquatseam/routing/_index.py
@@ -1,15 +1,14 @@
-"""The approximate per-engine prefix index.
-
-Fed by engines' cache events, which arrive late and with gaps, the index says
-which block keys each engine probably still holds. It is approximate by
-design: an entry not confirmed within ``entry_ttl_s`` is forgotten, because
-engines evict within seconds. Entries of an older engine epoch are dropped the
-moment a newer epoch is seen, and the old epoch is retired: late events or
-reports from it are ignored, so a restarted engine is never credited with the
-cache it lost.
-
-Entries are scoped by engine and epoch in the index's structure rather than in
-the block key itself: so a prompt's keys are computed once per request, not
+"""Approximate prefix index: which block keys each engine probably caches.
+
+The index is updated from engines' cache events, which arrive late and with
+gaps. It is approximate by design: an entry expires if it is not confirmed
+within ``entry_ttl_s``, because engines evict blocks within seconds. When a new
+epoch of an engine is seen, the entries of the previous one are dropped and
+that epoch is retired: late events and reports from it are ignored, so that a
+restarted engine is never credited with the cache that it lost.
+
+Entries are stored per engine and epoch, and the block keys don't depend on
+either. A prompt's keys are therefore computed once per request rather than
 once per candidate (``route_us_per_candidate`` in docs/CAPACITY.md).
 """
 
@@ -24,7 +23,7 @@
 from kumquatseam.logs import part_logger
 
 _log = part_logger("index")
-#: retired epochs remembered per engine; older ones are long out of flight.
+#: retired epochs kept per engine; no message of an older one is still in transit.
 RETIRED_EPOCHS_KEPT = 16
 
 
@@ -37,9 +36,9 @@
 
 
 class PrefixIndex:
-    """Block keys each engine holds, as far as its events tell.
+    """Block keys that each engine probably caches, judged by its cache events.
 
-    :param entry_ttl_s: how long an entry lives without being confirmed.
+    :param entry_ttl_s: time after which an entry that was not confirmed expires.
     """
 
     def __init__(self, entry_ttl_s: float) -> None:
@@ -50,14 +49,16 @@
         )
 
     def is_retired(self, engine: str, epoch: str) -> bool:
-        """Return whether ``epoch`` is an earlier life of ``engine``."""
+        """Return whether ``epoch`` is an earlier epoch of ``engine``."""
         return epoch in self._retired[engine]
 
     def apply(self, batch: CacheEventBatch, now_s: float) -> None:
-        """Take in one batch of cache events.
+        """Apply one batch of cache events.
+
+        A batch of a retired epoch, a duplicate or one out of order is ignored.
 
         :param batch: the events, possibly after a gap.
-        :param now_s: the monotonic time it arrived.
+        :param now_s: the monotonic time of its arrival.
         """
         if self.is_retired(batch.engine, batch.epoch):
             return
@@ -68,11 +69,12 @@
         last = state.last_sequence
         if last is not None and batch.sequence <= last:
             return
-        # The first batch heard says nothing of those before this router came.
+        # Batches before the first one received are not counted as lost: the
+        # router may have subscribed after they were sent.
         gap = batch.sequence - last - 1 if last is not None else 0
         if gap:
             state.lost_batches += gap
-            _log.info("Engine {} lost {} event batches.", batch.engine, gap)
+            _log.info("Engine {}: lost {} event batches.", batch.engine, gap)
         state.last_sequence = batch.sequence
         for key in batch.removed_keys:
             state.entries.pop(key, None)
@@ -80,10 +82,10 @@
             state.entries[key] = now_s
 
     def observe_epoch(self, engine: str, epoch: str) -> None:
-        """Record that ``engine`` runs in ``epoch``; drop older entries.
+        """Record the epoch of ``engine``; drop the entries of an earlier one.
 
         :param engine: the engine's name.
-        :param epoch: its epoch as last reported.
+        :param epoch: its last reported epoch.
         """
         state = self._engines.get(engine)
         if self.is_retired(engine, epoch) or (state and state.epoch == epoch):
@@ -100,28 +102,29 @@
         self._engines[engine] = _EngineEntries(epoch=epoch)
 
     def drop(self, engine: str) -> None:
-        """Forget everything about a dead engine.
+        """Drop the entries of an engine that is dead or no longer configured.
 
         :param engine: the engine's name.
         """
         state = self._engines.pop(engine, None)
         if state is not None:
             _log.info(
-                "Engine {} is dead; dropped {} blocks.", engine, len(state.entries)
+                "Engine {} is dead or removed; dropped {} blocks.",
+                engine,
+                len(state.entries),
             )
 
     def epoch(self, engine: str) -> str | None:
-        """Return the engine's epoch as last seen, or ``None``."""
+        """Return the engine's last seen epoch, or ``None``."""
         state = self._engines.get(engine)
         return state.epoch if state else None
 
     def match(self, engine: str, keys: list[int], now_s: float) -> int:
-        """Count how many leading ``keys`` the engine probably holds.
+        """Return how many leading ``keys`` the engine probably caches.
 
         :param engine: the engine's name.
-        :param keys: the prompt's chained block keys for that engine's epoch.
-        :param now_s: the monotonic time now.
-        :returns: number of matched leading blocks.
+        :param keys: the prompt's chained block keys for that engine's weights.
+        :param now_s: the current monotonic time.
         """
         state = self._engines.get(engine)
         if state is None:
@@ -136,18 +139,19 @@
         return matched
 
     def confirm(self, engine: str, epoch: str, keys: Sequence[int], now_s: float):
-        """Note that an engine holds ``keys``: it just served that prompt.
+        """Record that an engine caches ``keys`` because it just served the prompt.
 
-        :param epoch: the life it served it in; another one is ignored.
+        :param epoch: the engine's epoch when it served the prompt; the call has
+            no effect unless it is the current one.
         """
         state = self._engines.get(engine)
         if state is not None and state.epoch == epoch:
             state.entries.update(dict.fromkeys(keys, now_s))
 
     def export(self, limit_blocks: int) -> tuple[EngineBlocks, ...]:
-        """Return the newest blocks of every engine, an equal share of each.
+        """Return the newest blocks of every engine, equally many of each.
 
-        :param limit_blocks: blocks over all engines at most.
+        :param limit_blocks: maximum number of blocks of all engines together.
         """
         share = limit_blocks // max(1, len(self._engines))
         return tuple(
@@ -155,12 +159,12 @@
             for name, state in self._engines.items()
         )
 
-    def adopt(self, blocks: EngineBlocks, now_s: float) -> int:
-        """Take in what another router knew of an engine's cache.
+    def merge(self, blocks: EngineBlocks, now_s: float) -> int:
+        """Add another router's entries for an engine.
 
-        Nothing is adopted for a life of the engine other than the one known.
+        Entries are ignored if their epoch differs from the known one.
 
-        :returns: blocks added.
+        :returns: number of blocks added.
         """
         if self.is_retired(blocks.engine, blocks.epoch):
             return 0
@@ -170,17 +174,17 @@
             self._engines[blocks.engine] = state
         if state.epoch != blocks.epoch:
             return 0
-        fresh = [key for key in blocks.keys if key not in state.entries]
-        state.entries.update(dict.fromkeys(fresh, now_s))
-        return len(fresh)
+        new_keys = [key for key in blocks.keys if key not in state.entries]
+        state.entries.update(dict.fromkeys(new_keys, now_s))
+        return len(new_keys)
 
     def size_blocks(self, engine: str) -> int:
-        """Return how many entries the index keeps for ``engine``."""
+        """Return the number of entries for ``engine``."""
         state = self._engines.get(engine)
         return len(state.entries) if state else 0
 
     def lost_batches(self, engine: str) -> int:
-        """Return how many event batches of the current epoch never arrived."""
+        """Return the number of event batches of the current epoch that were lost."""
         state = self._engines.get(engine)
         return state.lost_batches if state else 0
 
--- a/src/kumquatseam/routing/_policies.py
+++ b/src/kumquatseam/routing/_policies.py
@@ -1,7 +1,7 @@
-"""Routing policies: the choice of engine among the candidates.
+"""Routing policies: the choice of an engine among the candidates.
 
-All policies share one abstract base class, so the daemon, the bench and the
-tests call the same code. :class:`PrefixAwarePolicy` is the default;
+All policies share one abstract base class, so that the daemon, the benchmark
+and the tests call the same code. :class:`PrefixAwarePolicy` is the default;
 :class:`RoundRobinPolicy` and :class:`LeastLoadedPolicy` are the baselines.
 """
 
@@ -11,28 +11,29 @@
 
 import attrs
 
-#: what waiting for the first of the taken slots is worth, in queued requests;
-#: long answers hold slots for longer than the mean (docs/design/routing.md).
+#: wait for the first slot to become free, in queued requests; more than one, as
+#: long answers occupy slots for longer than the mean (docs/design/routing.md).
 SLOT_WAIT_REQUESTS = 2.0
-#: what a less urgent request beyond the slots is worth: it waits itself, but
-#: it says that slots come free slowly.
+#: weight of a less urgent request queued beyond the slots, in queued requests: it
+#: does not delay a more urgent one, but shows that slots become free slowly.
 LESS_URGENT_WEIGHT = 0.25
 
 
 @attrs.frozen
 class Candidate:
-    """An engine that may serve a request, as the router sees it now.
+    """An engine that may serve a request, with the values to compare it by.
 
     :param upstream: the engine's name.
-    :param matched_blocks: leading prompt blocks it probably holds.
+    :param matched_blocks: leading prompt blocks that it probably caches.
     :param total_blocks: full blocks in the prompt.
     :param load_requests: its load, in requests running or queued.
-    :param urgent_requests: of that load, requests at least as urgent as this
-        one; an engine lets the others wait.
-    :param slots: requests it runs at once; beyond them, requests wait.
-    :param affinity_weight: rendezvous weight of the prompt's opening on this
-        engine (64 bit); the same on every router, no state needed.
-    :param opening: block key of the prompt's opening, ``0`` if it has none.
+    :param urgent_requests: requests of that load that are at least as urgent as
+        this one; the engine serves this one before the others.
+    :param slots: maximum number of requests it runs at once; further ones queue.
+    :param affinity_weight: rendezvous weight of the prompt's prefix on this
+        engine (64 bit); every router computes the same, without shared state.
+    :param prefix_key: block key of the prompt's prefix, ``0`` if the prompt has
+        no full block.
     :param keys: the prompt's block keys for this engine's weights.
     """
 
@@ -43,23 +44,23 @@
     urgent_requests: float
     slots: int
     affinity_weight: int = 0
-    opening: int = 0
+    prefix_key: int = 0
     keys: tuple[int, ...] = ()
 
 
 class RoutingPolicy(abc.ABC):
     """Chooses one engine for a request."""
 
-    #: the name used in settings and log lines.
+    #: name in settings and log lines.
     name: str = ""
 
     @abc.abstractmethod
     def choose(self, candidates: Sequence[Candidate]) -> Candidate:
-        """Pick one of ``candidates`` (never empty)."""
+        """Return one of ``candidates`` (never empty)."""
 
 
 class RoundRobinPolicy(RoutingPolicy):
-    """Baseline: each candidate in turn, blind to cache and load."""
+    """Baseline: each candidate in turn, regardless of cache and load."""
 
     name = "round_robin"
 
@@ -71,7 +72,7 @@
 
 
 class LeastLoadedPolicy(RoutingPolicy):
-    """Baseline: the candidate with the fewest requests, ties in turn."""
+    """Baseline: the candidate with the fewest requests, equal ones in turn."""
 
     name = "least_loaded"
 
@@ -79,20 +80,22 @@
         self._turn = itertools.count()
 
     def choose(self, candidates: Sequence[Candidate]) -> Candidate:
-        return _lowest(candidates, lambda c: c.load_requests, next(self._turn))
+        return _cheapest(candidates, lambda c: c.load_requests, next(self._turn))
 
 
 class PrefixAwarePolicy(RoutingPolicy):
-    """Picks the engine with the lowest estimated time to first token.
+    """Chooses the engine with the lowest estimated time to first token.
 
-    The estimate is the modelled prefill of the blocks the engine lacks plus
-    a wait for every request that would queue ahead of this one (those at least
-    as urgent beyond the engine's slots, and one slot to come free if all are
-    taken), so a hot opening stays where it is cached while the
-    engine has room and spreads to a second engine once its queue costs more
-    than recomputing the opening. Equal estimates go to the lowest load, and
-    equal loads by rendezvous weight, so routers that know the same choose
-    alike and a new opening is not prefilled on several engines at once.
+    The estimate is the modelled prefill time of the uncached blocks plus the
+    wait for the requests queued ahead: those at least as urgent beyond the
+    engine's slots, and the wait for a free slot if all are occupied. A frequent
+    prefix therefore stays on the engine that caches it while that engine has
+    free slots, and spreads to a second engine once queueing costs more than
+    recomputing the prefix.
+
+    Equal estimates are decided by the lower load, and equal loads by the higher
+    rendezvous weight. Routers with the same data thus choose the same engine,
+    and a new prefix is not prefilled on several engines at once.
 
     :param block_size_tokens: tokens per block.
     :param prefill_ms_per_token: modelled prefill time per uncached token.
@@ -113,31 +116,31 @@
 
     def estimate_ms(self, candidate: Candidate) -> float:
         """Return the modelled time to first token on ``candidate``."""
-        missing_blocks = candidate.total_blocks - candidate.matched_blocks
+        uncached_blocks = candidate.total_blocks - candidate.matched_blocks
         prefill_ms = (
-            missing_blocks * self._block_size_tokens * self._prefill_ms_per_token
+            uncached_blocks * self._block_size_tokens * self._prefill_ms_per_token
         )
         return prefill_ms + _queued_ahead(candidate) * self._queue_ms_per_request
 
     def choose(self, candidates: Sequence[Candidate]) -> Candidate:
-        return min(candidates, key=self._rank)
+        return min(candidates, key=self._sort_key)
 
-    def _rank(self, candidate: Candidate) -> tuple[int, float, int]:
-        whole_ms = round(self.estimate_ms(candidate))
-        return whole_ms, candidate.load_requests, -candidate.affinity_weight
+    def _sort_key(self, candidate: Candidate) -> tuple[int, float, int]:
+        rounded_ms = round(self.estimate_ms(candidate))
+        return rounded_ms, candidate.load_requests, -candidate.affinity_weight
 
 
 class AffinityPolicy(RoutingPolicy):
-    """Stateless prefix affinity: rendezvous hashing of the opening, bounded load.
-
-    Every router ranks the candidates by the rendezvous (highest random
-    weight) hash of the prompt's opening and the engine's name, and takes the
-    first that has a free slot; if none has, the one with the shortest queue,
-    higher weight first. Routers agree without exchanging any state, so it
-    needs no cache events: the mechanism for a fleet too large for every
-    router to index every engine (docs/CAPACITY.md). The bound on load is in
-    the spirit of consistent hashing with bounded loads (Mirrokni, Thorup and
-    Zadimoghaddam, 2018).
+    """Stateless prefix affinity: rendezvous hashing of the prefix, bounded load.
+
+    Every router orders the candidates by the rendezvous (highest random
+    weight) hash of the prompt's prefix and the engine's name, and chooses the
+    first with a free slot; if none has one, the one with the shortest queue,
+    and of equal queues the higher weight. Routers agree without shared state
+    and without cache events. Use it for a fleet in which not every router can
+    index every engine (docs/CAPACITY.md). The load bound follows the idea of
+    consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+    2018).
     """
 
     name = "affinity"
@@ -151,7 +154,7 @@
 
 
 def _queued_ahead(candidate: Candidate) -> float:
-    """Return how many requests' worth of waiting the candidate's load means."""
+    """Return the wait for the candidate's load, in queued requests."""
     urgent = max(0.0, candidate.urgent_requests - candidate.slots + 1)
     beyond_slots = candidate.load_requests - candidate.slots
     if beyond_slots < 0:
@@ -159,8 +162,8 @@
     return max(SLOT_WAIT_REQUESTS, urgent) + LESS_URGENT_WEIGHT * beyond_slots
 
 
-def _lowest(candidates: Sequence[Candidate], cost, turn: int) -> Candidate:
-    """Return the cheapest candidate; among equals, rotate by ``turn``."""
+def _cheapest(candidates: Sequence[Candidate], cost, turn: int) -> Candidate:
+    """Return the candidate of least cost; ``turn`` rotates among equal ones."""
     count = len(candidates)
     rotated = [candidates[(turn + i) % count] for i in range(count)]
     return min(rotated, key=cost)
@@ -172,9 +175,9 @@
     prefill_ms_per_token: float,
     queue_ms_per_request: float,
 ) -> RoutingPolicy:
-    """Return a new policy by its settings name.
+    """Return a new policy by its name in the settings.
 
-    :raises KeyError: for an unknown name (settings check names first).
+    :raises KeyError: if the name is unknown (the settings are checked before).
     """
     if name == PrefixAwarePolicy.name:
         return PrefixAwarePolicy(
--- a/src/kumquatseam/routing/_router.py
+++ b/src/kumquatseam/routing/_router.py
@@ -1,7 +1,8 @@
-"""The routing decision: which engine serves a request, and why.
+"""The routing decision: which engine serves a request.
 
-:class:`Router` joins the configuration in force, the prefix index, the fleet
-view and a policy. Every decision is logged as one ``route:`` line.
+:class:`Router` combines the current configuration, the prefix index, the fleet
+view and a policy. Every decision is logged as one ``route:`` line, with the
+values that led to it.
 """
 
 import time
@@ -37,25 +38,25 @@
 
 _log = part_logger("route")
 
-#: blocks of the prompt whose key names its opening for affinity (512 tokens
-#: at 16 per block: the common instruction and the team's checklist).
+#: maximum length in blocks of the prompt prefix used for affinity (512 tokens at
+#: 16 per block: the common instruction and the team's checklist).
 AFFINITY_BLOCKS = 32
-#: how long a placement stands in for the cache events it will cause.
+#: time for which a placement substitutes for the cache events that it causes.
 HINT_TTL_S = 2.0
-#: the least a shed caller is told to wait, in seconds.
+#: minimum ``Retry-After`` of a shed request.
 MIN_RETRY_AFTER_S = 0.2
 
 
 @attrs.frozen
 class RoutingRequest:
-    """What routing needs to know of a request.
+    """The properties of a request that routing depends on.
 
-    :param request_id: the router's id for it.
+    :param request_id: id given by the router.
     :param team: the caller's team.
-    :param model: the model asked for.
+    :param model: the requested model.
     :param tokens: the prompt's tokens.
-    :param priority: its class.
-    :param may_be_shed: whether it may be refused when engines are crowded.
+    :param priority: its priority class.
+    :param may_be_shed: whether it may be refused when engines are overloaded.
     :param exclude: engines not to choose (e.g. one that just failed).
     """
 
@@ -69,20 +70,20 @@
 
     @property
     def rank(self) -> int:
-        """The rank of its class."""
+        """The rank of its priority class; ``0`` is the most urgent."""
         return self.priority.rank
 
 
 @attrs.frozen
 class RoutingDecision:
-    """The engine chosen for a request and the figures it was chosen by.
+    """The engine chosen for a request and the values that led to the choice.
 
-    :param request_id: the router's id.
+    :param request_id: id given by the router.
     :param upstream: the chosen engine.
-    :param version: the weights it is expected to run.
-    :param epoch: the life it is expected to be in, if known.
+    :param version: the weights version it is expected to run.
+    :param epoch: its expected epoch, if known.
     :param salt: the cache salt of team, model and that version.
-    :param matched_blocks: leading blocks it probably holds.
+    :param matched_blocks: leading prompt blocks that it probably caches.
     :param total_blocks: full blocks in the prompt.
     :param load_requests: its load when chosen.
     :param policy: the policy's name.
@@ -102,12 +103,12 @@
 
 
 class Router:
-    """Chooses engines for requests and keeps the view it chooses by.
+    """Chooses engines for requests and tracks the engines' state.
 
-    :param live: the configuration in force.
+    :param live: the current configuration, with its changes.
     :param daemon: the daemon's settings.
-    :param policy: the policy to choose with.
-    :param clock: monotonic clock in seconds (the bench passes modelled time).
+    :param policy: chooses among the eligible engines.
+    :param clock: monotonic clock in seconds (the benchmark passes modelled time).
     """
 
     def __init__(
@@ -125,8 +126,8 @@
         self.index = PrefixIndex(daemon.index_entry_ttl_s)
         self.hints = PlacementHints(HINT_TTL_S)
         self.fleet = FleetView(daemon.engine_dead_after_s, clock)
-        self._take_configuration(live.current)
-        live.on_change(self._take_configuration)
+        self._apply_configuration(live.current)
+        live.on_change(self._apply_configuration)
 
     @property
     def policy_name(self) -> str:
@@ -134,26 +135,29 @@
         return self._policy.name
 
     def observe(self, message: EngineMessage) -> None:
-        """Take in one engine message (cache events or a load report)."""
+        """Apply one engine message (cache events or a load report).
+
+        Messages of a retired epoch are ignored.
+        """
         now_s = self._clock()
         if self.index.is_retired(message.engine, message.epoch):
             return
         if isinstance(message, CacheEventBatch):
-            self.fleet.observe_heard(message.engine, message.epoch, now_s)
+            self.fleet.observe_contact(message.engine, message.epoch, now_s)
             self.index.apply(message, now_s)
         elif isinstance(message, LoadReport):
             self.fleet.observe_report(message, now_s)
             self.index.observe_epoch(message.engine, message.epoch)
 
     def sweep(self) -> None:
-        """Drop what is known of engines that went silent, and old hints."""
+        """Drop the index entries of engines that stopped sending, and old hints."""
         now_s = self._clock()
-        for engine in self.fleet.newly_dead(now_s):
+        for engine in self.fleet.expire_silent_engines(now_s):
             self.index.drop(engine)
         self.hints.sweep(now_s)
 
     def record_served(self, decision: RoutingDecision) -> None:
-        """Note that the engine served the prompt, so it holds its blocks now."""
+        """Record that the engine served the prompt and so caches its blocks."""
         if decision.epoch is not None:
             self.index.confirm(
                 decision.upstream.name, decision.epoch, decision.keys, self._clock()
@@ -162,35 +166,40 @@
     def record_mismatch(
         self, engine: str, model: str, error: EngineMismatchError
     ) -> None:
-        """Take an engine's word on its life and weights after it refused."""
+        """Apply the epoch and weights version in an engine's refusal.
+
+        :param model: the requested model.
+        :param error: the refusal; an engine that didn't send its epoch is treated
+            as one of unknown epoch and weights.
+        """
         known = self.fleet.epoch(engine)
         if error.epoch is not None and error.epoch != known:
             self.index.observe_epoch(engine, error.epoch)
-            self.fleet.observe_heard(engine, error.epoch, self._clock())
+            self.fleet.observe_contact(engine, error.epoch, self._clock())
         if error.version is not None:
             self.fleet.observe_version(engine, model, error.version)
         if error.epoch is None:
             self.fleet.forget_epoch(engine)
 
     def candidates(self, request: RoutingRequest) -> list[Candidate]:
-        """Return the engines that may serve ``request``, with their figures."""
+        """Return the eligible engines with the values to compare them by."""
         now_s = self._clock()
         keys_by_version: dict[str, tuple[int, ...]] = {}
-        found = []
-        for upstream in self._takers(request, now_s):
+        candidates = []
+        for upstream in self._eligible_upstreams(request, now_s):
             version = self._version(upstream.name, request.model)
             keys = keys_by_version.get(version)
             if keys is None:
                 keys = self._keys(request, version)
                 keys_by_version[version] = keys
-            found.append(self._candidate(upstream, keys, request.rank, now_s))
-        return found
+            candidates.append(self._candidate(upstream, keys, request.rank, now_s))
+        return candidates
 
     def route(self, request: RoutingRequest) -> RoutingDecision:
         """Choose an engine for ``request`` and log the decision.
 
-        :raises NoUpstreamError: if no live engine may serve it.
-        :raises OverloadedError: if its class is shed from every one that may.
+        :raises NoUpstreamError: if no live engine is eligible.
+        :raises OverloadedError: if every eligible engine sheds its priority class.
         """
         candidates = self.candidates(request)
         if not candidates:
@@ -206,8 +215,8 @@
             )
         chosen = self._policy.choose(open_candidates)
         version = self._version(chosen.upstream, request.model)
-        if chosen.opening:
-            self.hints.note_own(chosen.opening, chosen.upstream, self._clock())
+        if chosen.prefix_key:
+            self.hints.note_own(chosen.prefix_key, chosen.upstream, self._clock())
         decision = RoutingDecision(
             request_id=request.request_id,
             upstream=self._live.current.upstream(chosen.upstream),
@@ -235,16 +244,21 @@
         )
         return decision
 
-    def _take_configuration(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         names = [u.name for u in configuration.upstreams]
-        for gone in set(self.fleet.names()) - set(names):
-            self.index.drop(gone)
+        for removed in set(self.fleet.names()) - set(names):
+            self.index.drop(removed)
         self.fleet.set_engines(names, self._clock())
 
-    def _takers(self, request: RoutingRequest, now_s: float) -> list[UpstreamSettings]:
-        """Return the engines that may take new work of this team and model."""
+    def _eligible_upstreams(
+        self, request: RoutingRequest, now_s: float
+    ) -> list[UpstreamSettings]:
+        """Return the live engines that may serve the request's team and model.
+
+        If none is live, return those that have not reported yet.
+        """
         configuration = self._live.current
-        reachable = []
+        permitted = []
         for name in request.team.upstreams:
             upstream = configuration.upstream(name)
             if upstream is None or name in request.exclude:
@@ -254,17 +268,17 @@
             if self.fleet.role(name) != SERVING:
                 continue
             if request.model in upstream.models:
-                reachable.append(upstream)
-        live = [u for u in reachable if self.fleet.is_live(u.name, now_s)]
+                permitted.append(upstream)
+        live = [u for u in permitted if self.fleet.is_live(u.name, now_s)]
         if live:
             return live
-        return [u for u in reachable if self.fleet.may_be_live(u.name, now_s)]
+        return [u for u in permitted if self.fleet.is_unconfirmed(u.name, now_s)]
 
     def _version(self, engine: str, model: str) -> str:
-        """Return the weights the engine named, else those it is to run."""
-        named = self.fleet.version(engine, model)
-        if named is not None:
-            return named
+        """Return the engine's reported weights version, else the configured one."""
+        reported = self.fleet.version(engine, model)
+        if reported is not None:
+            return reported
         configuration = self._live.current
         return configuration.desired_version(configuration.upstream(engine), model)
 
@@ -281,11 +295,13 @@
         rank: int,
         now_s: float,
     ) -> Candidate:
-        opening_blocks = min(len(keys), AFFINITY_BLOCKS)
-        opening = keys[opening_blocks - 1] if keys else 0
+        prefix_blocks = min(len(keys), AFFINITY_BLOCKS)
+        prefix_key = keys[prefix_blocks - 1] if keys else 0
         matched = self.index.match(upstream.name, keys, now_s)
-        if matched < opening_blocks and self.hints.names(opening, upstream.name, now_s):
-            matched = opening_blocks
+        if matched < prefix_blocks and self.hints.was_placed_by_peer(
+            prefix_key, upstream.name, now_s
+        ):
+            matched = prefix_blocks
         load = self.fleet.load(upstream.name, rank)
         return Candidate(
             upstream=upstream.name,
@@ -295,16 +311,16 @@
             urgent_requests=load.urgent_requests,
             slots=upstream.slots,
             affinity_weight=xxhash.xxh3_64_intdigest(
-                upstream.name.encode(), seed=opening
+                upstream.name.encode(), seed=prefix_key
             ),
-            opening=opening,
+            prefix_key=prefix_key,
             keys=keys,
         )
 
     def _shed(
         self, request: RoutingRequest, candidates: list[Candidate]
     ) -> list[Candidate]:
-        """Return the candidates with room for the request's class."""
+        """Return the candidates that don't shed the request's priority class."""
         if not request.may_be_shed:
             return candidates
         ratio = request.priority.max_queue_ratio
@@ -313,7 +329,7 @@
     def _retry_after_s(
         self, priority: PrioritySettings, candidates: list[Candidate]
     ) -> float:
-        """Return when the least crowded engine should have room again."""
+        """Return the estimated time until the least loaded engine accepts again."""
         excess = min(
             c.urgent_requests - c.slots * priority.max_queue_ratio for c in candidates
         )
