--- a/features/steps/fleet_rollout_steps.py
+++ b/features/steps/fleet_rollout_steps.py
@@ -60,7 +60,7 @@
     def epoch(self, engine):
         return "epoch"
 
-    def named_model(self, engine, model):
+    def reported_model(self, engine, model):
         return ModelVersion(model, self.versions[engine], ())
 
     def role(self, engine):
--- a/features/steps/matrix_control.py
+++ b/features/steps/matrix_control.py
@@ -26,9 +26,9 @@
     EngineReports,
     LiveConfiguration,
     Membership,
-    PeerConfiguration,
+    PeerConfigurationSync,
     RouterSummary,
-    SnapshotKeeper,
+    SnapshotWriter,
     WarmState,
     WeightsRollout,
 )
@@ -72,7 +72,7 @@
             name,
             world.clock,
         )
-        self.snapshots = SnapshotKeeper(
+        self.snapshots = SnapshotWriter(
             self.log,
             self.lease,
             1.0,
@@ -83,7 +83,7 @@
             name, f"inproc://{name}", int(world.clock.now_s * 4), SETTINGS, world.clock
         )
         self.membership.set_listed({n: f"inproc://{n}" for n in ROUTERS})
-        self.peers = PeerConfiguration(
+        self.peers = PeerConfigurationSync(
             self.live, self.membership, world.clock, world.ask
         )
         self.paused_until_s = 0.0
@@ -107,7 +107,7 @@
         self.membership.tick()
         for target in self.membership.targets():
             message = self.membership.heartbeat(self.live.next_offset, RouterSummary())
-            self.membership.note_asked(target.name)
+            self.membership.note_heartbeat_sent(target.name)
             peer = self.world.reach(target.address)
             if peer is not None:
                 peer.membership.receive(message)
@@ -140,7 +140,7 @@
     def epoch(self, engine: str) -> str:
         return str(self.engines[engine].epoch)
 
-    def named_model(self, engine: str, model: str) -> ModelVersion:
+    def reported_model(self, engine: str, model: str) -> ModelVersion:
         return ModelVersion(model, self.reported[engine])
 
     def role(self, engine: str) -> str:
--- a/src/kumquatseam/bench/_control_slopes.py
+++ b/src/kumquatseam/bench/_control_slopes.py
@@ -136,7 +136,7 @@
         member.tick()
         for target in member.targets():
             message = CONTROL_CODEC.encode(member.heartbeat(9, summary))
-            member.note_asked(target.name)
+            member.note_heartbeat_sent(target.name)
             done.messages += 1
             done.sent_bytes += len(message)
             peer = fleet.get(target.name)
--- a/src/kumquatseam/control.py
+++ b/src/kumquatseam/control.py
@@ -12,7 +12,7 @@
     Heartbeat,
     LiveConfiguration,
     Membership,
-    PeerConfiguration,
+    PeerConfigurationSync,
     QueryFault,
     QueryRequest,
     RouterSummary,
@@ -41,7 +41,7 @@
         live: LiveConfiguration,
         membership: Membership,
         summaries: PeerSummaries,
-        configuration: PeerConfiguration,
+        configuration: PeerConfigurationSync,
         answerer: QueryAnswerer,
         read_warm_state: Callable[[], WarmState],
     ) -> None:
--- a/src/kumquatseam/fleet/__init__.py
+++ b/src/kumquatseam/fleet/__init__.py
@@ -43,7 +43,7 @@
     WarmStateRequest,
     engine_id,
 )
-from kumquatseam.fleet._peer_configuration import PeerConfiguration, PeerStart
+from kumquatseam.fleet._peer_configuration import PeerBootstrap, PeerConfigurationSync
 from kumquatseam.fleet._records import (
     ALTER,
     CREATE,
@@ -54,7 +54,7 @@
 )
 from kumquatseam.fleet._rollout import EngineReports, WeightsRollout
 from kumquatseam.fleet._router_records import RouterRecords
-from kumquatseam.fleet._snapshots import SnapshotKeeper, read_warm_state
+from kumquatseam.fleet._snapshots import SnapshotWriter, read_warm_state
 from kumquatseam.fleet._warm_start import WarmStart
 
 __all__ = [
@@ -86,8 +86,8 @@
     "Member",
     "MemberNews",
     "Membership",
-    "PeerConfiguration",
-    "PeerStart",
+    "PeerConfigurationSync",
+    "PeerBootstrap",
     "Placement",
     "QueryAnswer",
     "QueryFault",
@@ -97,7 +97,7 @@
     "RouterSummary",
     "Row",
     "SUSPECT",
-    "SnapshotKeeper",
+    "SnapshotWriter",
     "WarmStart",
     "WarmState",
     "WarmStateRequest",
--- a/src/kumquatseam/fleet/_heartbeats.py
+++ b/src/kumquatseam/fleet/_heartbeats.py
@@ -87,7 +87,7 @@
         if client is None:
             client = ReplyClient(member.address, CONTROL_CODEC)
             self._clients[member.address] = client
-        self._membership.note_asked(member.name)
+        self._membership.note_heartbeat_sent(member.name)
         timeout_s = self._interval_s() * REPLY_SHARE
         reply = client.ask(message, timeout_s)
         if isinstance(reply, Heartbeat):
--- a/src/kumquatseam/fleet/_membership.py
+++ b/src/kumquatseam/fleet/_membership.py
@@ -105,7 +105,7 @@
         """Return how many routers are not dead, this one included."""
         return 1 + sum(m.state != DEAD for m in self._members.values())
 
-    def duty_rank(self, duty: str) -> int:
+    def lease_rank(self, duty: str) -> int:
         """Return this router's place in the order in which routers take a duty."""
         names = [m.name for m in self._members.values() if m.state == ALIVE]
         ranked = sorted([*names, self.name], key=lambda n: _ring_place(f"{duty}:{n}"))
@@ -166,7 +166,7 @@
             summary,
         )
 
-    def note_asked(self, name: str) -> None:
+    def note_heartbeat_sent(self, name: str) -> None:
         """Note that a heartbeat went out to ``name``."""
         member = self._members.get(name)
         if member is not None and member.asked_s is None:
--- a/src/kumquatseam/fleet/_peer_configuration.py
+++ b/src/kumquatseam/fleet/_peer_configuration.py
@@ -40,7 +40,7 @@
     return ask_once(address, CONTROL_CODEC, message, ASK_TIMEOUT_S)
 
 
-class PeerConfiguration:
+class PeerConfigurationSync:
     """Keeps this router from falling behind its peers.
 
     :param live: the configuration in force here.
@@ -102,7 +102,7 @@
         return True
 
 
-class PeerStart:
+class PeerBootstrap:
     """Asks listed routers before callers are accepted, if the log is silent.
 
     Started after the follower and before the caller interface. A router that
@@ -119,7 +119,7 @@
         self,
         live: LiveConfiguration,
         instances: InstanceList,
-        configuration: PeerConfiguration,
+        configuration: PeerConfigurationSync,
         own_name: str,
     ) -> None:
         self._live = live
--- a/src/kumquatseam/fleet/_rollout.py
+++ b/src/kumquatseam/fleet/_rollout.py
@@ -45,7 +45,7 @@
         """Return the engine's life as last heard."""
 
     @abc.abstractmethod
-    def named_model(self, engine: str, model: str) -> ModelVersion | None:
+    def reported_model(self, engine: str, model: str) -> ModelVersion | None:
         """Return what the engine last said it runs of ``model``."""
 
     @abc.abstractmethod
@@ -123,7 +123,7 @@
             if self._reports.role(name) != upstream.role:
                 yield _Due(name, role=upstream.role)
             for model in upstream.models:
-                named = self._reports.named_model(name, model)
+                named = self._reports.reported_model(name, model)
                 desired = ModelVersion(
                     model,
                     configuration.desired_version(upstream, model),
--- a/src/kumquatseam/fleet/_snapshots.py
+++ b/src/kumquatseam/fleet/_snapshots.py
@@ -34,7 +34,7 @@
     return None
 
 
-class SnapshotKeeper:
+class SnapshotWriter:
     """Writes the warm state while this router holds the duty.
 
     :param log: the log service.
--- a/src/kumquatseam/routing/_fleet.py
+++ b/src/kumquatseam/routing/_fleet.py
@@ -225,10 +225,10 @@
 
     def version(self, engine: str, model: str) -> str | None:
         """Return the weights version of ``model`` last reported by ``engine``."""
-        reported = self.named_model(engine, model)
+        reported = self.reported_model(engine, model)
         return reported.version if reported else None
 
-    def named_model(self, engine: str, model: str) -> ModelVersion | None:
+    def reported_model(self, engine: str, model: str) -> ModelVersion | None:
         """Return the weights of ``model`` last reported by ``engine``."""
         state = self._engines.get(engine)
         return state.versions.get(model) if state else None
--- a/src/kumquatseam/wiring.py
+++ b/src/kumquatseam/wiring.py
@@ -23,10 +23,10 @@
     HeartbeatLoop,
     LiveConfiguration,
     Membership,
-    PeerConfiguration,
-    PeerStart,
+    PeerBootstrap,
+    PeerConfigurationSync,
     RouterRecords,
-    SnapshotKeeper,
+    SnapshotWriter,
     WarmStart,
     WarmState,
     WeightsRollout,
@@ -209,7 +209,7 @@
             FLEET_DUTY,
             name,
             settings.fleet.lease_s,
-            lambda: membership.duty_rank(FLEET_DUTY) if membership else 0,
+            lambda: membership.lease_rank(FLEET_DUTY) if membership else 0,
         )
         rollout = WeightsRollout(
             self._live,
@@ -218,7 +218,7 @@
             self._router.fleet,
             name,
         )
-        snapshots = SnapshotKeeper(
+        snapshots = SnapshotWriter(
             self._log_service,
             lease,
             settings.log.snapshot_interval_s,
@@ -247,7 +247,7 @@
             self._refusals,
             membership,
         )
-        configuration = PeerConfiguration(self._live, membership, time.monotonic)
+        configuration = PeerConfigurationSync(self._live, membership, time.monotonic)
         handler = ControlHandler(
             self._live,
             membership,
@@ -267,7 +267,9 @@
         parts: list = [self._control]
         if self._instances is not None:
             parts.append(
-                PeerStart(self._live, self._instances, configuration, membership.name)
+                PeerBootstrap(
+                    self._live, self._instances, configuration, membership.name
+                )
             )
         return [
             *parts,
