--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive a fleet through its log service and control addresses."""
+"""Steps that control a fleet through its log service and control addresses."""
 
 import json
 import subprocess
@@ -27,25 +27,32 @@
 from kumquatseam.operators import CommandConflictError, FleetConsole
 from kumquatseam.settings import load_settings
 
-#: sections that make faults show within a test's patience.
-QUICK = {"fleet": {"heartbeat_interval_s": 0.2, "suspect_after_s": 0.8}}
+#: settings sections for failure detection within the timeout of a step.
+FAST_FAILURE_DETECTION = {
+    "fleet": {"heartbeat_interval_s": 0.2, "suspect_after_s": 0.8}
+}
 
 
 @given("a fleet of {routers:d} routers and {engines:d} engines")
 @given("a fleet of {routers:d} routers and {engines:d} engine")
 @given("a fleet of {routers:d} router and {engines:d} engine")
 def step_controlled_fleet(context, routers, engines, more=None, **options):
+    """Start a fleet with a log service.
+
+    :param more: additional settings sections.
+    :param options: other fields of the :class:`FleetPlan`.
+    """
     plan = FleetPlan(
         routers=routers,
         engines=engines,
         with_log=True,
-        sections={**QUICK, **(more or {})},
+        sections={**FAST_FAILURE_DETECTION, **(more or {})},
         **options,
     )
     fleet = start_fleet(context, plan)
     context.console = console_of(fleet)
     context.log = HttpLogService(fleet.log_url)
-    context.seeded = context.console.read().next_offset
+    context.seeded_offset = context.console.read().next_offset
 
 
 @given(
@@ -112,21 +119,21 @@
 @then("every router soon has {count:d} changes in force")
 def step_in_force(context, count):
     wait_for(
-        lambda: all(o == context.seeded + count for o in offsets(context)),
+        lambda: all(o == context.seeded_offset + count for o in offsets(context)),
         f"{count} changes in force, now {offsets(context)}",
     )
 
 
-@then("every router soon has {count:d} change in force and agrees on the winner's")
+@then("every router soon has {count:d} change in force and agrees on the accepted one")
 def step_agree(context, count):
     step_in_force(context, count)
-    winner = next(x for x in context.outcomes if isinstance(x, str))[-1]
+    accepted_rank = next(x for x in context.outcomes if isinstance(x, str))[-1]
     rows = context.console.query("show priorities where priority = notes").rows
-    assert [row.cells[2] for row in rows] == [winner] * 3, rows
+    assert [row.cells[2] for row in rows] == [accepted_rank] * 3, rows
 
 
-@when("the log loses the answer to the next append")
-def step_lose_answer(context):
+@when("the log loses the reply to the next append")
+def step_lose_append_reply(context):
     set_log_faults(context, lose_answers=1)
 
 
@@ -140,7 +147,7 @@
     assert len(context.applied.in_force) == count, context.applied
 
 
-@then("the log holds exactly {count:d} record of an operator")
+@then("the log holds exactly {count:d} record appended by an operator")
 def step_records(context, count):
     records = context.log.read(CONFIGURATION_TOPIC, 0).records
     decoded = [RECORD_CODEC.decode(unframe_keyed(r.payload)[1]) for r in records]
@@ -148,7 +155,7 @@
 
 
 @when('the operator tool applies "{text}"')
-def step_tool_applies(context, text):
+def step_run_operator_tool(context, text):
     settings = context.fleet.routers[0].settings_path
     command = [sys.executable, "-m", "kumquatseam.cli", "apply", text]
     context.exited = subprocess.run(
@@ -156,11 +163,11 @@
     )
 
 
-@then("it exits with code {code:d} pointing at {place}")
-def step_tool_exit(context, code, place):
+@then("it exits with code {code:d} and an error at {position}")
+def step_operator_tool_exit(context, code, position):
     result = context.exited
     assert result.returncode == code, (result.returncode, result.stderr)
-    assert place == "nothing" or f"{place}:" in result.stderr, result.stderr
+    assert position == "no position" or f"{position}:" in result.stderr, result.stderr
 
 
 @when("the log service goes down")
@@ -170,12 +177,12 @@
 
 @when("router {index:d} is killed and started again")
 def step_restart_one(context, index):
-    wait_for(lambda: warm_blocks_kept(context), "a snapshot")
+    wait_for(lambda: has_warm_snapshot(context), "a snapshot")
     context.fleet.restart_router(index)
 
 
-def warm_blocks_kept(context) -> bool:
-    """Return whether a snapshot is kept, or cannot be looked at now."""
+def has_warm_snapshot(context) -> bool:
+    """Return whether the log has a snapshot, needs none or cannot be read."""
     try:
         return bool(context.log.newest("keyed.kumquatseam.warm").records) or (
             not router_status(context)["engines"]["engine-0"]["index_blocks"]
@@ -184,26 +191,26 @@
         return True
 
 
-@when("the routers have heard of each other")
-@given("the routers have heard of each other")
-def step_heard(context):
+@when("the routers have exchanged heartbeats")
+@given("the routers have exchanged heartbeats")
+def step_wait_heartbeats(context):
     count = len(context.fleet.routers)
 
-    def all_heard():
+    def all_connected():
         rows = context.console.query("show routers where state = alive").rows
         members = [row.cells[1] for row in rows if int(row.cells[3]) > 0]
         return len(members) == count * count
 
-    wait_for(all_heard, "routers to hear of each other")
+    wait_for(all_connected, "heartbeats between all routers")
 
 
-@then('router {index:d} soon refuses team "{team}" with status {status:d}')
-def step_refuses(context, index, team, status):
-    def refuses():
+@then('router {index:d} soon rejects team "{team}" with status {status:d}')
+def step_rejects(context, index, team, status):
+    def is_rejected():
         send(context, f"key-{team}", prompt_of(8), stream=False, router=index)
         return context.status == status
 
-    wait_for(refuses, f"status {status}")
+    wait_for(is_rejected, f"status {status}")
 
 
 @then('router {index:d} answers team "{team}" with status {status:d}')
@@ -212,18 +219,18 @@
     assert context.status == status, context.answer
 
 
-@when("router {index:d} freezes")
-def step_freeze(context, index):
+@when("router {index:d} is suspended")
+def step_suspend(context, index):
     context.fleet.routers[index].program.pause()
 
 
-@when("router {index:d} thaws")
-def step_thaw(context, index):
+@when("router {index:d} is resumed")
+def step_resume(context, index):
     context.fleet.routers[index].program.resume()
 
 
 @when("all routers are killed and started again at the same moment")
-def step_herd(context):
+def step_restart_all(context):
     fleet = context.fleet
     for router in fleet.routers:
         router.program.kill()
@@ -238,31 +245,31 @@
 
 
 @then(
-    'every router\'s first answer to team "{first}" is {ok:d} and to team "{second}" '
-    "{refused:d}"
+    'every router\'s first response to team "{first}" is {ok:d} and to team "{second}" '
+    "{rejected:d}"
 )
-def step_first_answers(context, first, ok, second, refused):
+def step_first_responses(context, first, ok, second, rejected):
     for index in range(len(context.fleet.routers)):
         step_answers(context, index, first, ok)
-        step_answers(context, index, second, refused)
+        step_answers(context, index, second, rejected)
 
 
-@then('routers 0 and 1 soon see {name} as "{state}" or "{other}"')
-def step_see(context, name, state, other):
-    def seen():
+@then('routers 0 and 1 soon report {name} as "{state}" or "{other}"')
+def step_wait_state(context, name, state, other):
+    def is_reported():
         rows = context.console.query(f"show routers where member = {name}").rows
         states = [row.cells[2] for row in rows if row.cells[0] != name]
         return len(states) == 2 and set(states) <= {state, other}
 
-    wait_for(seen, f"{name} to be {state}")
+    wait_for(is_reported, f"the routers to report {name} as {state}")
 
 
-@then("a query names {name} as silent")
-def step_silent(context, name):
+@then("a query reports that {name} did not answer")
+def step_unreachable(context, name):
     assert context.console.query("show running").silent == (name,)
 
 
-@when("a caller streams a {tokens:d}-token answer from each engine")
+@when("a caller streams a {tokens:d}-token completion from each engine")
 def step_two_streams(context, tokens):
     context.streams = [
         gevent.get_hub().threadpool.spawn(stream_events, context, tokens)
@@ -275,22 +282,22 @@
     )
 
 
-@when("engine 1 is listed as leaving and engine-0 is undrained later")
-def step_leave(context):
+@when("engine-0 is undrained and then engine 1 is listed as leaving")
+def step_engine_leaves(context):
     send(context, "key-alpha", prompt_of(20), stream=False)
     assert context.answer["choices"], context.answer
     context.console.apply("undrain upstream engine-0", "tester", 5.0)
     HTTP.request("POST", f"{context.fleet.engines[1].url}/standin/leave")
-    wait_for(lambda: leaving(context) == {"engine-1"}, "engine-1 to be leaving")
+    wait_for(lambda: leaving_engines(context) == {"engine-1"}, "engine-1 to be leaving")
     send(context, "key-alpha", prompt_of(24), stream=False)
 
 
-def leaving(context) -> set[str]:
+def leaving_engines(context) -> set[str]:
     rows = context.console.query("show leaving").rows
     return {row.cells[1] for row in rows if row.cells[0] == "router-0"}
 
 
-@then("both streams arrive complete")
+@then("both streams are complete")
 def step_streams_complete(context):
     for stream in context.streams:
         events = stream.get(timeout=20)
@@ -324,9 +331,9 @@
 def newest_request(context) -> dict:
     request_id = context.request_ids[-1]
     for index in range(len(context.fleet.engines)):
-        for seen in engine_stats(context, index)["recent_requests"]:
-            if seen["request_id"] == request_id:
-                return seen
+        for request in engine_stats(context, index)["recent_requests"]:
+            if request["request_id"] == request_id:
+                return request
     raise AssertionError(f"no engine ran {request_id}")
 
 
@@ -346,8 +353,8 @@
         assert stats["orders"][0]["fence"] >= 0
 
 
-@then("router {index:d} soon indexes {count:d} blocks it never saw stored")
-def step_warm(context, index, count):
+@then("router {index:d} soon indexes {count:d} blocks from adopted warm state")
+def step_warm_started(context, index, count):
     def indexed():
         engine = router_status(context, index)["engines"]["engine-0"]
         return engine["index_blocks"] == count
@@ -359,18 +366,21 @@
 
 @then('every engine soon has adapters "{names}" and engine 0 is on standby')
 def step_adapters(context, names):
-    wanted = [name.strip() for name in names.split(",")]
+    expected = [name.strip() for name in names.split(",")]
 
-    def ordered():
+    def is_applied():
         stats = [engine_stats(context, i) for i in range(len(context.fleet.engines))]
-        loaded = all(s["adapters"].get(MODEL) == wanted for s in stats)
+        loaded = all(s["adapters"].get(MODEL) == expected for s in stats)
         return loaded and [s["role"] for s in stats] == ["standby", "serving"]
 
-    wait_for(ordered, "adapters and roles")
-    wait_for(lambda: reported_role(context, "engine-0") == "standby", "the report")
+    wait_for(is_applied, "adapters and roles")
+    wait_for(
+        lambda: listed_role(context, "engine-0") == "standby",
+        "engine-0 to be reported as standby",
+    )
 
 
-def reported_role(context, engine: str) -> str:
+def listed_role(context, engine: str) -> str:
     rows = context.console.query(f"show upstreams where upstream = {engine}").rows
     roles = {row.cells[-1] for row in rows}
     return roles.pop() if len(roles) == 1 else ""
--- a/features/steps/fleet_rollout_steps.py
+++ b/features/steps/fleet_rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the rollout of the routers' own interface, in modelled time."""
+"""Steps for the weights rollout of the fleet package, in modelled time."""
 
 from behave import given, then, when
 from modelled_clock import Clock
@@ -24,7 +24,7 @@
 
 
 class ConfigurationStub:
-    """Wants every engine on version 2."""
+    """Sets version 2 as the desired version of every engine."""
 
     def __init__(self, count):
         self.upstreams = [UpstreamStub(f"e{number}") for number in range(count)]
@@ -49,7 +49,10 @@
 
 
 class ModelledEngines(EngineReports, EngineOrderClient):
-    """Engines that load when they are ordered to, but for some that never do."""
+    """Engines that load weights when ordered to, except some that never do.
+
+    :param never: names of the engines that accept orders without loading.
+    """
 
     def __init__(self, clock, names, never):
         self.clock = clock
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start a router and stand-in engines and talk to them over HTTP."""
+"""Steps that start a router and stand-in engines and call them over HTTP."""
 
 import configparser
 import json
@@ -55,7 +55,7 @@
 def post_completion(
     context, key: str, prompt: str, stream: bool, max_tokens: int, router=0, **headers
 ):
-    """POST to a router's /v1/completions; the answer is left unread."""
+    """POST to a router's /v1/completions and return the response unread."""
     body = {
         "model": MODEL,
         "prompt": prompt,
@@ -165,8 +165,8 @@
     "by the engine's accounting request {number:d} was served {tokens:d} cached tokens"
 )
 def step_engine_cached(context, number, tokens):
-    seen = engine_stats(context)["recent_requests"]
-    assert seen[number - 1]["cached_tokens"] == tokens, seen
+    requests = engine_stats(context)["recent_requests"]
+    assert requests[number - 1]["cached_tokens"] == tokens, requests
 
 
 @then("the engine has seen {count:d} requests")
@@ -196,11 +196,11 @@
 
 @then("the router soon indexes {count:d} blocks of the engine")
 def step_indexes(context, count):
-    def indexed():
+    def find_indexed():
         engine = router_status(context)["engines"]["engine-0"]
         return engine if engine["index_blocks"] == count else None
 
-    context.old_epoch = wait_for(indexed, f"{count} indexed blocks")["epoch"]
+    context.old_epoch = wait_for(find_indexed, f"{count} indexed blocks")["epoch"]
 
 
 @when('the router restarts with model version "{version}"')
@@ -252,11 +252,11 @@
 
 @then("the router soon sees the engine's new epoch and indexes {count:d} blocks of it")
 def step_new_epoch(context, count):
-    def renewed():
+    def find_restarted():
         engine = router_status(context)["engines"]["engine-0"]
         return engine if engine["epoch"] not in (None, context.old_epoch) else None
 
-    engine = wait_for(renewed, "a new epoch")
+    engine = wait_for(find_restarted, "a new epoch")
     assert engine["index_blocks"] == count, engine
 
 
--- a/features/steps/matrix_control.py
+++ b/features/steps/matrix_control.py
@@ -1,7 +1,8 @@
-"""The control half of the fault matrix: configuration, leases, orders, snapshots.
+"""Control matrix: faults during configuration changes, leases and rollouts.
 
-Three routers share a log and three engines. Two versions are named, one
-after the other, while a fault strikes; then all heals and must agree.
+Three routers share a log and three engines. Two weights versions are rolled
+out one after the other while a fault is injected. After the repair all
+routers and engines must have the second version.
 """
 
 import contextlib
@@ -12,7 +13,7 @@
     Clock,
     FakeEngine,
     FakeEngineClient,
-    Script,
+    FaultTrigger,
 )
 from matrix_world import (
     SETTINGS as INI,
@@ -45,15 +46,15 @@
 LEASE_S = 3.0
 FAULT_S = 5.0
 HEAL_S = 16.0
-#: an outage lasts until an operator has tried in vain this often.
+#: failed attempts of an operator after which an outage ends.
 OUTAGE_TRIES = 4
-#: what the fault strikes: while nothing happens, before or after a change is
-#: appended, and while engines are being ordered.
+#: when the fault is injected: while nothing happens, before or after a change
+#: is appended, or while orders are sent to engines.
 STEPS = ("idle", "before_apply", "after_apply", "ordering")
 
 
 class ControlRouter:
-    """One router's control parts; a restart makes new ones."""
+    """The control components of one router; a restart creates new ones."""
 
     def __init__(self, world, name: str):
         self.name = name
@@ -84,7 +85,7 @@
         )
         self.membership.set_listed({n: f"inproc://{n}" for n in ROUTERS})
         self.peers = PeerConfigurationSync(
-            self.live, self.membership, world.clock, world.ask
+            self.live, self.membership, world.clock, world.query
         )
         self.paused_until_s = 0.0
         self.caught_up = False
@@ -103,12 +104,12 @@
         self.peers.step()
 
     def heartbeat(self) -> None:
-        """Heartbeat every peer that is running and reachable."""
+        """Exchange heartbeats with every peer that is running and reachable."""
         self.membership.tick()
         for target in self.membership.targets():
             message = self.membership.heartbeat(self.live.next_offset, RouterSummary())
             self.membership.note_heartbeat_sent(target.name)
-            peer = self.world.reach(target.address)
+            peer = self.world.reachable_router(target.address)
             if peer is not None:
                 peer.membership.receive(message)
                 reply = peer.membership.heartbeat(
@@ -123,19 +124,19 @@
     def __init__(self):
         self.clock = Clock()
         self.sleep = self.clock.sleep
-        self.script = Script()
+        self.trigger = FaultTrigger()
         self.settings = parse_settings(INI, "matrix")
         self.store = LogStore(clock=self.clock)
         self.logs: list[InMemoryLogService] = []
         self.engines = {n: FakeEngine(n) for n in ("e0", "e1", "e2")}
         self.reported = dict.fromkeys(self.engines, "v1")
-        self.late_orders: list = []
-        self.cut: set[str] = set()
+        self.delayed_orders: list = []
+        self.unreachable: set[str] = set()
         self.operator_log = self.new_log()
         self.routers = {name: ControlRouter(self, name) for name in ROUTERS}
-        self.broken: list[str] = []
-        self.offsets = dict.fromkeys(ROUTERS, 0)
-        self.by_offset: dict[int, object] = {}
+        self.violations: list[str] = []
+        self.last_offsets = dict.fromkeys(ROUTERS, 0)
+        self.configuration_by_offset: dict[int, object] = {}
 
     def epoch(self, engine: str) -> str:
         return str(self.engines[engine].epoch)
@@ -155,15 +156,15 @@
         held = [r for r in self.routers.values() if r.lease.fence is not None]
         return held[0] if held else self.routers["r0"]
 
-    def reach(self, address: str) -> ControlRouter | None:
-        """Return the router at ``address`` if it runs and is not cut off."""
+    def reachable_router(self, address: str) -> ControlRouter | None:
+        """Return the router at ``address`` if it is running and reachable."""
         router = self.routers[address.removeprefix("inproc://")]
         is_running = self.clock.now_s >= router.paused_until_s
-        return router if is_running and router.name not in self.cut else None
+        return router if is_running and router.name not in self.unreachable else None
 
-    def ask(self, address: str, message):
-        """Ask a router for its configuration, as over the wire."""
-        router = self.reach(address)
+    def query(self, address: str, message):
+        """Return a router's configuration, encoded and decoded as on the wire."""
+        router = self.reachable_router(address)
         if router is None:
             return None
         reply = CONTROL_CODEC.encode(router.peers.snapshot())
@@ -181,25 +182,25 @@
                 self.check()
 
     def check(self) -> None:
-        """Check what must hold at every moment."""
+        """Check the invariants that hold at all times."""
         held = [r.name for r in self.routers.values() if r.lease.fence is not None]
         if len(held) > 1:
-            self.broken.append(f"two holders of one duty: {held}")
+            self.violations.append(f"two holders of one lease: {held}")
         for router in self.routers.values():
             offset = router.live.next_offset
-            if offset < self.offsets[router.name]:
-                self.broken.append(f"{router.name} went back to {offset}")
-            self.offsets[router.name] = offset
-            known = self.by_offset.setdefault(offset, router.live.current)
+            if offset < self.last_offsets[router.name]:
+                self.violations.append(f"{router.name} reverted to offset {offset}")
+            self.last_offsets[router.name] = offset
+            known = self.configuration_by_offset.setdefault(offset, router.live.current)
             if offset and known != router.live.current:
-                self.broken.append(f"routers differ at offset {offset}")
+                self.violations.append(f"configurations differ at offset {offset}")
 
     def restart(self, name: str) -> None:
         self.routers[name] = ControlRouter(self, name)
-        self.offsets[name] = 0
+        self.last_offsets[name] = 0
 
     def apply(self, text: str) -> None:
-        """Apply as an operator does who tries again after a failure."""
+        """Apply a command, retrying after a failure as an operator does."""
         console = FleetConsole({}, self.operator_log, self.settings.configuration)
         for attempt in range(20):
             if attempt == OUTAGE_TRIES:
@@ -210,7 +211,7 @@
                 return
             except KumquatseamError:
                 self.run(1.0)
-        self.broken.append(f"never accepted: {text}")
+        self.violations.append(f"command never accepted: {text}")
 
     @staticmethod
     def _is_applied(console: FleetConsole, text: str) -> bool:
@@ -218,26 +219,26 @@
         return console.read().configuration.model(MODEL).version == version
 
     def heal(self) -> None:
-        self.script.left = 0
-        self.cut.clear()
+        self.trigger.remaining = 0
+        self.unreachable.clear()
         for log in self.logs:
             log.faults = LogFaults()
             log.deliver_late()
-        for engine_name, order in self.late_orders:
+        for engine_name, order in self.delayed_orders:
             engine = self.engines[engine_name]
             if not engine.checks_fences or order.fence >= engine.highest_fence:
                 engine.version = order.version
-        self.late_orders.clear()
+        self.delayed_orders.clear()
 
 
-def _all_logs(world, **faults) -> None:
+def _set_log_faults(world, **faults) -> None:
     for log in world.logs:
         for name, value in faults.items():
             setattr(log.faults, name, value)
 
 
 def log_down(world):
-    _all_logs(world, down=True)
+    _set_log_faults(world, down=True)
 
 
 def log_down_for_holder(world):
@@ -245,22 +246,22 @@
 
 
 def log_slow(world):
-    _all_logs(world, slow_s=0.5)
+    _set_log_faults(world, slow_s=0.5)
 
 
 def log_loses_answers(world):
-    _all_logs(world, lose_answers=1)
+    _set_log_faults(world, lose_answers=1)
 
 
 def log_loses_appends(world):
-    _all_logs(world, drop_appends=2)
+    _set_log_faults(world, drop_appends=2)
 
 
 def log_appends_late(world):
-    _all_logs(world, late_appends=2)
+    _set_log_faults(world, late_appends=2)
 
 
-def log_forgets_history(world):
+def log_expires_records(world):
     topics = world.store._topics.values()
     for topic in topics:
         while topic.payloads:
@@ -277,9 +278,9 @@
     world.restart(world.holder().name)
 
 
-def cut_holder_off(world):
-    """The holder reaches neither its peers nor the log."""
-    world.cut.add(world.holder().name)
+def partition_holder(world):
+    """Partition the lease holder from its peers and the log."""
+    world.unreachable.add(world.holder().name)
     log_down_for_holder(world)
 
 
@@ -299,26 +300,30 @@
 
 
 def operators_race(world):
-    """Another operator's change lands whenever ours has been read."""
+    """Append another operator's command; ours, read before it, then conflicts."""
     console = FleetConsole({}, world.new_log(), world.settings.configuration)
     with contextlib.suppress(KumquatseamError):
         name = f"raced{int(world.clock.now_s * 4)}"
         console.apply(f"create priority {name} rank = 9", "racer", 0)
 
 
-def orders_are_late(world):
-    """Engines that ignore fencing tokens carry out orders long after."""
+def orders_are_delayed(world):
+    """Engines that ignore fencing tokens carry out orders after a long delay."""
 
-    def hold_up(world, name, step):
-        order = attrs.make_class("Held", ["fence", "version"])(
+    def delay_order(world, name, step):
+        order = attrs.make_class("DelayedOrder", ["fence", "version"])(
             world.holder().lease.fence or 0, "v2"
         )
-        world.late_orders.append((name, order))
-        raise OrderUnansweredError(name, "held up")
+        world.delayed_orders.append((name, order))
+        raise OrderUnansweredError(name, "delayed")
 
     for engine in world.engines.values():
         engine.checks_fences = False
-    world.script.step, world.script.fire, world.script.left = "order", hold_up, 3
+    world.trigger.step, world.trigger.inject_fault, world.trigger.remaining = (
+        "order",
+        delay_order,
+        3,
+    )
 
 
 FAULTS = (
@@ -328,20 +333,20 @@
     log_loses_answers,
     log_loses_appends,
     log_appends_late,
-    log_forgets_history,
+    log_expires_records,
     pause_holder,
     kill_holder,
-    cut_holder_off,
+    partition_holder,
     kill_all,
     kill_all_while_log_is_down,
     engines_crash,
     operators_race,
-    orders_are_late,
+    orders_are_delayed,
 )
 
 
 def cells():
-    """Yield every cell: a fault, a step, times it strikes, a second fault."""
+    """Yield the cells: fault, step, number of injections, second fault."""
     for fault in FAULTS:
         for step in STEPS:
             for times in (1, 2):
@@ -353,19 +358,19 @@
 
 
 def run_cell(fault, step, times, second) -> list[str]:
-    """Run one cell and return what was broken."""
+    """Run one cell and return the violated invariants."""
     world = ControlWorld()
     world.run(2.0)
-    _strike(world, fault, step == "idle", times, second)
+    _inject(world, fault, step == "idle", times, second)
     if step == "idle":
         world.run(FAULT_S)
         world.heal()
         world.run(1.0)
-    _strike(world, fault, step == "before_apply", times, second)
+    _inject(world, fault, step == "before_apply", times, second)
     world.apply(f"load model {MODEL} version v2")
-    _strike(world, fault, step == "after_apply", times, second)
+    _inject(world, fault, step == "after_apply", times, second)
     world.run(0.5)
-    _strike(world, fault, step == "ordering", times, second)
+    _inject(world, fault, step == "ordering", times, second)
     world.run(FAULT_S)
     world.apply(f"load model {MODEL} version v3")
     world.run(1.0)
@@ -374,7 +379,7 @@
     return _check_end(world)
 
 
-def _strike(world, fault, now: bool, times: int, second) -> None:
+def _inject(world, fault, now: bool, times: int, second) -> None:
     if not now:
         return
     for _ in range(times):
@@ -386,21 +391,21 @@
 
 
 def _check_end(world) -> list[str]:
-    """Check that the fleet repaired itself."""
-    broken = list(dict.fromkeys(world.broken))
+    """Return all violations, including a fleet that did not converge."""
+    violations = list(dict.fromkeys(world.violations))
     offsets = {r.name: r.live.next_offset for r in world.routers.values()}
     if len(set(offsets.values())) != 1:
-        broken.append(f"offsets differ: {offsets}")
+        violations.append(f"offsets differ: {offsets}")
     for router in world.routers.values():
         version = router.live.current.model(MODEL).version
         if version != "v3":
-            broken.append(f"{router.name} has version {version} in force")
+            violations.append(f"{router.name} has version {version} in force")
         states = {m.name: m.state for m in router.membership.members()}
         if set(states.values()) != {ALIVE}:
-            broken.append(f"{router.name} sees {states}")
+            violations.append(f"{router.name} reports its peers as {states}")
     for engine in world.engines.values():
         if engine.version != "v3":
-            broken.append(f"{engine.name} runs {engine.version}")
+            violations.append(f"{engine.name} runs {engine.version}")
     if sum(r.lease.fence is not None for r in world.routers.values()) != 1:
-        broken.append("no holder of the duty")
-    return broken
+        violations.append("not exactly one holder of the lease")
+    return violations
--- a/features/steps/matrix_requests.py
+++ b/features/steps/matrix_requests.py
@@ -1,4 +1,4 @@
-"""The request half of the fault matrix: every fault at every step of a request."""
+"""Request matrix: every fault at every step of a request."""
 
 import contextlib
 
@@ -16,11 +16,12 @@
 from kumquatseam.serving import Completion, may_have_run
 
 STEPS = ("claim", "connect", "first_token", "middle", "end")
-KINDS = ("repeatable", "marked", "service_get", "service_post", "service_marked")
-WHOLE = tuple(f"w{index}" for index in range(ANSWER_TOKENS))
+#: "keyed" requests carry an idempotency key.
+KINDS = ("repeatable", "keyed", "service_get", "service_post", "service_keyed")
+COMPLETE_ANSWER = tuple(f"w{index}" for index in range(ANSWER_TOKENS))
 
 
-def _break(name: str, step: str, detail: str):
+def _raise_upstream_error(name: str, step: str, detail: str):
     raise UpstreamError(name, step != "connect", detail)
 
 
@@ -29,48 +30,48 @@
     if engine:
         engine.crash()
         engine.down = True
-    _break(name, step, "connection reset")
+    _raise_upstream_error(name, step, "connection reset")
 
 
-def crash_and_return_empty(world, name, step):
+def crash_and_restart(world, name, step):
     engine = world.engines.get(name)
     if engine:
         engine.crash()
-        world.late_event(name)
-    _break(name, step, "connection reset")
+        world.deliver_stale_event(name)
+    _raise_upstream_error(name, step, "connection reset")
 
 
-def go_silent(world, name, step):
+def time_out(world, name, step):
     world.clock.sleep(1.0)
-    _break(name, step, "timed out")
+    _raise_upstream_error(name, step, "timed out")
 
 
-def be_full(world, name, step):
+def reject_as_full(world, name, step):
     raise UpstreamError(name, False, "HTTP 503, not run")
 
 
 def cross_answers(world, name, step):
-    _break(name, step, "crossed answer of another request")
+    _raise_upstream_error(name, step, "crossed answer of another request")
 
 
 def change_weights(world, name, step):
-    """New weights on an engine that keeps its cached blocks."""
+    """Load new weights on an engine that keeps its cached blocks."""
     if name in world.engines:
         world.engines[name].version = "v2"
 
 
-def leave(world, name, step):
+def leave_instance_list(world, name, step):
     world.leaving.add(name)
     world.router.router.fleet.set_leaving(world.leaving)
 
 
 def drop_engine(world, name, step):
     if name in world.engines:
-        _advance(world, EntityChange("alter", "team", "a", _upstreams(name)))
+        _apply_change(world, EntityChange("alter", "team", "a", _upstreams(name)))
 
 
 def drop_team(world, name, step):
-    _advance(world, EntityChange("drop", "team", "a"))
+    _apply_change(world, EntityChange("drop", "team", "a"))
 
 
 def log_down(world, name, step):
@@ -102,7 +103,7 @@
     return (FieldValue("upstreams", ", ".join(others)),)
 
 
-def _advance(world, change) -> None:
+def _apply_change(world, change) -> None:
     live = world.router.live
     with contextlib.suppress(ChangeRefusedError):
         changed = apply_changes(live.current, [change])
@@ -111,12 +112,12 @@
 
 ENGINE_FAULTS = (
     crash,
-    crash_and_return_empty,
-    go_silent,
-    be_full,
+    crash_and_restart,
+    time_out,
+    reject_as_full,
     cross_answers,
     change_weights,
-    leave,
+    leave_instance_list,
 )
 FAULTS = (
     *ENGINE_FAULTS,
@@ -132,16 +133,16 @@
 
 
 @attrs.frozen
-class Seen:
-    """What the caller of one attempt saw."""
+class AttemptResult:
+    """The result of one call, as received by its caller."""
 
-    whole: bool
-    refused_not_run: bool
+    is_complete: bool
+    refused_unexecuted: bool
     failure: str = ""
 
 
 def cells():
-    """Yield every cell: a kind of request, a fault, a step, times it fires."""
+    """Yield the cells: kind of request, fault, step, number of injections."""
     for kind in KINDS:
         for fault in FAULTS:
             for step in STEPS:
@@ -152,11 +153,16 @@
 
 def _applies(kind, fault, step) -> bool:
     if kind.startswith("service"):
-        if fault in (change_weights, leave, drop_engine, crash_and_return_empty):
+        if fault in (
+            change_weights,
+            leave_instance_list,
+            drop_engine,
+            crash_and_restart,
+        ):
             return False
         if step in ("middle", "end"):
             return False
-    if fault is be_full:
+    if fault is reject_as_full:
         return step == "connect"
     if fault is cross_answers:
         return step in ("first_token", "middle", "end")
@@ -164,9 +170,9 @@
 
 
 def run_cell(kind, fault, step, times) -> list[str]:
-    """Run one cell and return what was broken."""
+    """Run one cell and return the violated invariants."""
     world = World()
-    broken: list[str] = []
+    violations: list[str] = []
     team = world.settings.configuration.find("team", "a")
     if step == "claim":
         for _ in range(times):
@@ -176,29 +182,31 @@
                 world.router = MatrixRouter(world)
                 world.report()
     else:
-        world.script.step, world.script.fire = step, fault
-        world.script.left = times
+        world.trigger.step, world.trigger.inject_fault = step, fault
+        world.trigger.remaining = times
     first = _attempt(world, team, kind, "r1")
     world.heal()
-    _check_after(world, kind, "r1", first, broken)
+    _check_after(world, kind, "r1", first, violations)
     must_succeed = fault in ENGINE_FAULTS and kind in ("repeatable", "service_get")
-    if must_succeed and not first.whole:
-        broken.append(f"repeatable request lost: {first.failure}")
+    if must_succeed and not first.is_complete:
+        violations.append(f"retryable request failed: {first.failure}")
     world.router = MatrixRouter(world)
     world.report()
     again = _attempt(world, team, kind, "r2")
-    _check_after(world, kind, "r2", again, broken)
-    if "marked" in kind and _runs(world, "r1") + _runs(world, "r2") > 1:
-        broken.append("a marked request ran twice")
-    if "marked" in kind and first.refused_not_run and not again.whole:
-        broken.append(f"refused as not run, yet its repeat is refused: {again.failure}")
-    if "marked" not in kind and not again.whole:
-        broken.append(f"not served after the fault healed: {again.failure}")
-    return broken
-
-
-def _attempt(world, team, kind, request_id) -> Seen:
-    key = "the-key" if "marked" in kind else None
+    _check_after(world, kind, "r2", again, violations)
+    if "keyed" in kind and _runs(world, "r1") + _runs(world, "r2") > 1:
+        violations.append("a request with an idempotency key ran twice")
+    if "keyed" in kind and first.refused_unexecuted and not again.is_complete:
+        violations.append(
+            f"rejected as not executed, but its retry failed: {again.failure}"
+        )
+    if "keyed" not in kind and not again.is_complete:
+        violations.append(f"not served after the fault was repaired: {again.failure}")
+    return violations
+
+
+def _attempt(world, team, kind, request_id) -> AttemptResult:
+    key = "the-key" if "keyed" in kind else None
     sent_before = len(world.sent_to)
     leaving = set(world.leaving)
     try:
@@ -209,12 +217,14 @@
     except RouterKilled:
         world.router = MatrixRouter(world)
         world.report()
-        return Seen(False, False, "router killed")
+        return AttemptResult(False, False, "router killed")
     except KumquatseamError as error:
-        return Seen(False, not may_have_run(error), repr(error))
+        return AttemptResult(False, not may_have_run(error), repr(error))
     if leaving & set(world.sent_to[sent_before:]):
-        return Seen(False, False, "sent to a leaving engine")
-    return Seen(texts == WHOLE, False, f"incomplete or out of order: {texts}")
+        return AttemptResult(False, False, "sent to a leaving engine")
+    return AttemptResult(
+        texts == COMPLETE_ANSWER, False, f"incomplete or out of order: {texts}"
+    )
 
 
 def _complete(world, team, request_id, key) -> tuple[str, ...]:
@@ -233,7 +243,7 @@
     service = world.settings.configuration.service("s")
     call = ServiceCall(request_id, method, "x", b"", None, team.name)
     answer = world.router.services.serve(team, service, call, key)
-    return WHOLE if answer.body == b"done" else ()
+    return COMPLETE_ANSWER if answer.body == b"done" else ()
 
 
 def _runs(world, request_id) -> int:
@@ -241,20 +251,24 @@
     return on_engines + world.service_runs.count(request_id)
 
 
-def _check_after(world, kind, request_id, seen, broken) -> None:
-    """Check what must hold after any attempt, whole or not."""
+def _check_after(world, kind, request_id, result, violations) -> None:
+    """Check the invariants that hold after every attempt, complete or not."""
     runs = _runs(world, request_id)
-    if seen.refused_not_run and runs:
-        broken.append(f"{request_id} was refused as not run but ran {runs} times")
+    if result.refused_unexecuted and runs:
+        violations.append(
+            f"{request_id} was rejected as not executed but ran {runs} times"
+        )
     if kind != "repeatable" and kind != "service_get" and runs > 1:
-        broken.append(f"{request_id} must not be repeated but ran {runs} times")
+        violations.append(f"{request_id} must not be retried but ran {runs} times")
     if runs > 3:
-        broken.append(f"{request_id} ran {runs} times, over its attempts")
+        violations.append(f"{request_id} ran {runs} times, above its limit of attempts")
     for engine in world.engines.values():
         if engine.stale_hits:
-            broken.append(f"stale cached work used: {engine.stale_hits}")
+            violations.append(
+                f"cached blocks of other weights used: {engine.stale_hits}"
+            )
     router = world.router
     if router.router.fleet.in_flight() or router.running.all():
-        broken.append("a request that ended still counts as running")
+        violations.append("a completed request is still counted as running")
     if router.limiter.running():
-        broken.append("a team's request that ended still counts")
+        violations.append("a completed request is still counted for its team")
--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -1,16 +1,16 @@
-"""Steps that run the fault matrix and print its summary line."""
+"""Steps that run the fault matrix and print a summary."""
 
 import matrix_control
 import matrix_requests
 from behave import then, when
 from loguru import logger
 
-HALVES = {"requests": matrix_requests, "control": matrix_control}
+MATRICES = {"requests": matrix_requests, "control": matrix_control}
 
 
-@when("every fault of the {half} matrix is injected at every step")
-def step_run_matrix(context, half):
-    module = HALVES[half]
+@when("every fault of the {name} matrix is injected at every step")
+def step_run_matrix(context, name):
+    module = MATRICES[name]
     logger.disable("kumquatseam")
     try:
         context.results = [(cell, module.run_cell(*cell)) for cell in module.cells()]
@@ -18,12 +18,14 @@
         logger.enable("kumquatseam")
 
 
-@then("every cell holds, of at least {count:d}")
-def step_all_held(context, count):
-    broken = [(cell, why) for cell, why in context.results if why]
+@then("no cell violates an invariant, of at least {count:d}")
+def step_no_violations(context, count):
+    failed = [(cell, found) for cell, found in context.results if found]
     cells = len(context.results)
-    print(f"\nmatrix: {cells} cells, {cells - len(broken)} held, {len(broken)} broken")
-    for cell, why in broken:
+    print(
+        f"\nmatrix: {cells} cells, {cells - len(failed)} passed, {len(failed)} failed"
+    )
+    for cell, violations in failed:
         names = " ".join(getattr(part, "__name__", str(part)) for part in cell)
-        print(f"  broken: {names}: {'; '.join(why)}")
-    assert not broken and cells >= count, f"{len(broken)} cells broken"
+        print(f"  failed: {names}: {'; '.join(violations)}")
+    assert not failed and cells >= count, f"{len(failed)} cells failed"
--- a/features/steps/matrix_world.py
+++ b/features/steps/matrix_world.py
@@ -1,7 +1,7 @@
-"""A small world for the fault matrix: fakes at the interfaces, modelled time.
+"""Test environment of the fault matrix: fakes and modelled time.
 
-Everything decided is the daemon's own code (router, serving, claims, leases,
-configuration); only engines, services and the log's transport are fakes.
+Router, serving, claims, leases and configuration are the daemon's own code;
+only engines, services and the log's transport are fakes.
 """
 
 import attrs
@@ -62,31 +62,31 @@
 
 
 class RouterKilled(Exception):
-    """The router's process ends here; its caller sees a broken connection."""
+    """The router's process is killed; its caller's connection breaks."""
 
 
 @attrs.define
-class Script:
-    """Fires a fault when a step of a request's life is reached.
+class FaultTrigger:
+    """Injects a fault when a request or order reaches a given step.
 
     :param step: the step.
-    :param fire: the fault; called with the world and the back end's name.
-    :param left: times it still fires.
+    :param inject_fault: called with the world, the upstream's name and the step.
+    :param remaining: how many more times to inject it.
     """
 
     step: str = ""
-    fire: object = None
-    left: int = 0
+    inject_fault: object = None
+    remaining: int = 0
 
-    def hit(self, step: str, world, name: str) -> None:
-        if step == self.step and self.left > 0:
-            self.left -= 1
-            self.fire(world, name, step)
+    def reach_step(self, step: str, world, name: str) -> None:
+        if step == self.step and self.remaining > 0:
+            self.remaining -= 1
+            self.inject_fault(world, name, step)
 
 
 @attrs.define
 class FakeEngine:
-    """An engine's life, weights, cache and the runs it began."""
+    """An engine's epoch, weights version, cache and started requests."""
 
     name: str
     epoch: int = 0
@@ -104,15 +104,15 @@
         self.highest_fence = -1
 
     def run(self, request) -> None:
-        """Begin a request, noting cached work it must not have used."""
+        """Start a request; record a cache hit on blocks of other weights."""
         self.runs.append(request.request_id)
-        made_under = self.cache.setdefault(request.cache_salt, self.version)
-        if made_under != self.version:
-            self.stale_hits.append((request.request_id, made_under, self.version))
+        cached_version = self.cache.setdefault(request.cache_salt, self.version)
+        if cached_version != self.version:
+            self.stale_hits.append((request.request_id, cached_version, self.version))
 
 
 class FakeEngineClient(EngineClient, EngineOrderClient):
-    """Runs requests and orders on the world's fake engines."""
+    """Sends requests and orders to the fake engines."""
 
     def __init__(self, world):
         self._world = world
@@ -120,25 +120,25 @@
     def stream(self, target, request):
         world, engine = self._world, self._world.engines[target.name]
         world.sent_to.append(target.name)
-        world.script.hit("connect", world, target.name)
+        world.trigger.reach_step("connect", world, target.name)
         if engine.down:
             raise UpstreamError(target.name, False, "refused")
-        wrong_life = request.expected_epoch not in (None, str(engine.epoch))
-        if wrong_life or request.expected_version not in (None, engine.version):
+        is_wrong_epoch = request.expected_epoch not in (None, str(engine.epoch))
+        if is_wrong_epoch or request.expected_version not in (None, engine.version):
             raise EngineMismatchError(target.name, str(engine.epoch), engine.version)
         engine.run(request)
-        world.script.hit("first_token", world, target.name)
+        world.trigger.reach_step("first_token", world, target.name)
         for index in range(request.resume_after_tokens, request.max_tokens):
             if index == request.max_tokens // 2:
-                world.script.hit("middle", world, target.name)
+                world.trigger.reach_step("middle", world, target.name)
             last = index == request.max_tokens - 1
             yield EngineChunk(f"w{index}", "length" if last else None)
-        world.script.hit("end", world, target.name)
+        world.trigger.reach_step("end", world, target.name)
         yield EngineChunk("", None, 40, 0, request.max_tokens)
 
     def send(self, target, order) -> None:
         engine = self._world.engines[target.name]
-        self._world.script.hit("order", self._world, target.name)
+        self._world.trigger.reach_step("order", self._world, target.name)
         if engine.checks_fences and order.fence < engine.highest_fence:
             raise OrderRefusedError(target.name, 412)
         engine.highest_fence = max(order.fence, engine.highest_fence)
@@ -146,25 +146,25 @@
 
 
 class FakeServiceClient(ServiceClient):
-    """Runs calls on fake replicas of the plain service."""
+    """Sends calls to the fake replicas of a service."""
 
     def __init__(self, world):
         self._world = world
 
     def call(self, url, call):
         world = self._world
-        world.script.hit("connect", world, url)
+        world.trigger.reach_step("connect", world, url)
         world.service_runs.append(call.request_id)
-        world.script.hit("first_token", world, url)
+        world.trigger.reach_step("first_token", world, url)
         return ServiceAnswer(200, b"done", None)
 
 
 class World:
-    """Engines, a log, and routers that share them."""
+    """Fake engines, a log and the router that uses them."""
 
     def __init__(self):
         self.clock = Clock()
-        self.script = Script()
+        self.trigger = FaultTrigger()
         self.settings = parse_settings(SETTINGS, "matrix")
         self.engines = {name: FakeEngine(name) for name in ENGINES}
         for engine in self.engines.values():
@@ -181,7 +181,7 @@
         return InMemoryLogService(self.store, LogFaults(), self.clock.sleep)
 
     def report(self) -> None:
-        """Let every live engine report its life, weights and load."""
+        """Send the router a load report of every running engine."""
         for engine in self.engines.values():
             if not engine.down:
                 versions = (ModelVersion(MODEL, engine.version),)
@@ -189,13 +189,13 @@
                 report = LoadReport(engine.name, epoch, 0, 0, 0.0, versions)
                 self.router.router.observe(report)
 
-    def late_event(self, name: str) -> None:
-        """Deliver a cache event from the engine's life before this one."""
-        old = str(self.engines[name].epoch - 1)
-        self.router.router.observe(CacheEventBatch(name, old, 99, (1, 2, 3), ()))
+    def deliver_stale_event(self, name: str) -> None:
+        """Deliver a delayed cache event of the engine's previous epoch."""
+        previous = str(self.engines[name].epoch - 1)
+        self.router.router.observe(CacheEventBatch(name, previous, 99, (1, 2, 3), ()))
 
     def heal(self) -> None:
-        self.script.left = 0
+        self.trigger.remaining = 0
         self.log.faults = LogFaults()
         for engine in self.engines.values():
             engine.down = False
@@ -207,7 +207,7 @@
 
 
 class MatrixRouter:
-    """One router's own parts on the world's fakes."""
+    """The components of one router, connected to the fakes."""
 
     def __init__(self, world: World):
         settings, clock = world.settings, world.clock
--- a/src/kumquatseam/fleet/__init__.py
+++ b/src/kumquatseam/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""The routers as one fleet: configuration, membership, duties, snapshots.
+"""Coordination between routers: configuration, membership, rollout, snapshots.
 
-What must be agreed goes through the log service; everything else between
-routers goes over nng.
+State that needs agreement goes through the log service; all other messages
+between routers go over nng.
 """
 
 from kumquatseam.fleet._changes import ChangeRefusedError, apply_changes
@@ -31,7 +31,7 @@
     ControlMessage,
     EngineBlocks,
     Heartbeat,
-    MemberNews,
+    MembershipUpdate,
     Placement,
     QueryAnswer,
     QueryFault,
@@ -84,7 +84,7 @@
     "HeartbeatLoop",
     "LiveConfiguration",
     "Member",
-    "MemberNews",
+    "MembershipUpdate",
     "Membership",
     "PeerConfigurationSync",
     "PeerBootstrap",
--- a/src/kumquatseam/fleet/_changes.py
+++ b/src/kumquatseam/fleet/_changes.py
@@ -1,7 +1,8 @@
-"""Applying an operator's changes to a configuration: a pure function.
+"""Apply an operator's changes to a configuration, as a pure function.
 
-The operator tool applies a command to check it before it is appended, and
-every daemon applies the same record at the same offset, so all agree.
+The operator tool applies a command locally to validate it before appending
+it. Every daemon applies the same record at the same offset, so all daemons
+reach the same configuration.
 """
 
 from collections.abc import Iterable
@@ -21,10 +22,10 @@
 
 @attrs.define(frozen=True, eq=False)
 class ChangeRefusedError(KumquatseamError):
-    """A change does not fit the configuration it was made for.
+    """A change is invalid for the configuration it would apply to.
 
-    :param change: the change refused; nothing of its command applies.
-    :param reason: what is wrong, in one short sentence.
+    :param change: the rejected change; no change of its command is applied.
+    :param reason: why it is invalid, in one short sentence.
     """
 
     change: EntityChange
@@ -40,9 +41,9 @@
 def apply_changes(
     configuration: Configuration, changes: Iterable[EntityChange]
 ) -> Configuration:
-    """Return ``configuration`` after every one of ``changes``.
+    """Return ``configuration`` with all of ``changes`` applied in order.
 
-    :raises ChangeRefusedError: if one does not fit; nothing then applies.
+    :raises ChangeRefusedError: if a change is invalid; none is applied then.
     """
     change = None
     for change in changes:
--- a/src/kumquatseam/fleet/_follower.py
+++ b/src/kumquatseam/fleet/_follower.py
@@ -1,11 +1,12 @@
-"""Keeping the configuration in force by following the log service.
+"""Keep a daemon's configuration up to date with the log service.
 
 The configuration is the newest record of every entity in one keyed topic.
-A daemon starts on its INI file's configuration, loads the newest records,
-seeds an empty topic with its own (a conditional append: exactly one daemon's
-wins), and then waits for records at the topic's end, so a change is in force
-within one answer of the log. If the log forgot the records in between, the
-newest of each entity are loaded again; nothing accepted is ever lost.
+A daemon starts with the configuration of its INI file and loads the newest
+records. If the topic is empty, it seeds it with its own configuration by a
+conditional append, which succeeds for exactly one daemon. It then long-polls
+the end of the topic, so a change is in force within one reply of the log. If
+records have expired before they were read, the newest record of each entity
+is loaded again, so no accepted change is lost.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,10 +23,10 @@
     EntityChange,
     EntityRecord,
     entity_key,
-    entity_of,
+    field_values,
     new_record_id,
+    parse_entity,
     split_entity_key,
-    values_of,
 )
 from kumquatseam.logs import part_logger
 from kumquatseam.logservice import (
@@ -47,18 +48,18 @@
 
 CONFIGURATION_TOPIC = f"{KEYED_PREFIX}kumquatseam.configuration"
 RETRY_PAUSE_S = 0.5
-#: how long a starting router waits for the log before it serves.
-START_PATIENCE_S = 1.0
-#: the operator named in the records that seed an empty topic.
+#: how long a starting router waits for the log before it serves callers.
+START_TIMEOUT_S = 1.0
+#: operator name in the records that seed an empty topic.
 SEED_OPERATOR = "seed"
 
 
 @attrs.frozen
 class ConfigurationState:
-    """A configuration and how much of the topic it includes.
+    """A configuration and the topic offset up to which it is current.
 
     :param configuration: the entities.
-    :param next_offset: the offset after the last record included.
+    :param next_offset: offset after the last record included.
     """
 
     configuration: Configuration
@@ -69,16 +70,16 @@
 class Command:
     """An operator's command, ready to append.
 
-    :param operator: who issues it.
-    :param changes: the changes, in order; all apply or none.
+    :param operator: who issued it.
+    :param changes: the changes, in order; either all are applied or none.
     """
 
     operator: str
     changes: tuple[EntityChange, ...]
 
 
-def fold(state: ConfigurationState, records: Iterable[LogRecord]):
-    """Return ``state`` after every command that is whole in ``records``."""
+def apply_records(state: ConfigurationState, records: Iterable[LogRecord]):
+    """Return ``state`` with every command applied that is complete in ``records``."""
     group: list[tuple[str, EntityRecord]] = []
     for record in records:
         try:
@@ -104,7 +105,7 @@
 
 
 def load_newest(log: LogService) -> ConfigurationState:
-    """Return the state made of the newest record of every entity.
+    """Return the state built from the newest record of every entity.
 
     :raises LogServiceError: if the log did not answer.
     """
@@ -124,9 +125,11 @@
     :raises LogServiceError: if the log did not answer.
     """
     try:
-        return fold(state, _read_all(log, state.next_offset))
+        return apply_records(state, _read_all(log, state.next_offset))
     except LogRecordsExpiredError:
-        _log.info("The log forgot offset={}; loading the newest.", state.next_offset)
+        _log.info(
+            "Records expired from offset={}; loading the newest.", state.next_offset
+        )
         return load_newest(log)
 
 
@@ -143,7 +146,7 @@
 def read_current(log: LogService, seed_configuration: Configuration):
     """Return the state at the topic's end, seeding an empty topic.
 
-    :param seed_configuration: what an empty topic is seeded with.
+    :param seed_configuration: configuration to seed an empty topic with.
     :raises LogServiceError: if the log did not answer.
     """
     state = load_newest(log)
@@ -153,27 +156,27 @@
 
 
 def _seed(log: LogService, configuration: Configuration) -> ConfigurationState:
-    """Make ``configuration`` the first command; of several that try, one wins."""
+    """Append ``configuration`` as the first command, unless another process did."""
     changed = [(k, e.name, e) for k, e in configuration.entities()]
     if not changed:
         return ConfigurationState(configuration, 0)
     try:
         append_once(log, CONFIGURATION_TOPIC, _payloads(SEED_OPERATOR, changed), 0)
-        _log.info("Seeded the empty log with the settings' configuration.")
+        _log.info("Seeded the configuration topic from the settings file.")
     except LogConflictError:
-        _log.info("Another process seeded the log.")
+        _log.info("Another process seeded the configuration topic first.")
     return load_newest(log)
 
 
 def append_command(
     log: LogService, state: ConfigurationState, command: Command
 ) -> ConfigurationState:
-    """Append ``command`` at the offset ``state`` was read at.
+    """Append ``command`` on condition that the topic still ends at ``state``.
 
-    :returns: the state after it.
-    :raises ChangeRefusedError: if it does not fit; nothing was appended.
-    :raises LogConflictError: if another command came first.
-    :raises LogServiceError: if the log did not take it.
+    :returns: the state after the command.
+    :raises ChangeRefusedError: if a change is invalid; nothing was appended.
+    :raises LogConflictError: if another command was appended first.
+    :raises LogServiceError: if the log did not confirm the append.
     """
     after = apply_changes(state.configuration, command.changes)
     touched = dict.fromkeys((c.kind, c.name) for c in command.changes)
@@ -186,7 +189,7 @@
 def _payloads(
     operator: str, changed: list[tuple[str, str, Entity | None]]
 ) -> list[bytes]:
-    """Return one framed record per entity changed; ``None`` drops one."""
+    """Return one framed record per changed entity; ``None`` marks a dropped one."""
     command_id = new_record_id()
     payloads = []
     for index, (kind, name, entity) in enumerate(changed):
@@ -196,7 +199,7 @@
             index=index,
             count=len(changed),
             is_dropped=entity is None,
-            fields=values_of(entity) if entity is not None else (),
+            fields=field_values(entity) if entity is not None else (),
         )
         payloads.append(
             frame_keyed(entity_key(kind, name), RECORD_CODEC.encode(record))
@@ -207,7 +210,7 @@
 def _replace(
     configuration: Configuration, group: list[tuple[str, EntityRecord]]
 ) -> Configuration:
-    """Return ``configuration`` with the entities of ``group`` as recorded."""
+    """Return ``configuration`` with the entities of ``group`` replaced."""
     entities = {(kind, e.name): e for kind, e in configuration.entities()}
     for key, record in group:
         kind, name = split_entity_key(key)
@@ -215,19 +218,19 @@
             entities.pop((kind, name), None)
             continue
         try:
-            entities[(kind, name)] = entity_of(kind, name, record.fields)
+            entities[(kind, name)] = parse_entity(kind, name, record.fields)
         except (FieldFault, KeyError) as error:
             _log.warning("Skipped {}: {!r}.", key, error)
     return Configuration.of((kind, e) for (kind, _), e in entities.items())
 
 
 class ConfigurationFollower(BackgroundTask):
-    """Follows the configuration's topic and keeps it in force.
+    """Follows the configuration topic and applies every new configuration.
 
     :param log: the log service.
-    :param live: where the configuration is put in force.
+    :param live: the shared configuration to update.
     :param poll_s: how long one read waits for the next record.
-    :param sleep: pauses after a failed call.
+    :param sleep: called to pause after a failed read.
     """
 
     def __init__(
@@ -245,24 +248,24 @@
         self._caught_up = gevent.event.Event()
 
     def start(self) -> None:
-        """Catch up if the log answers at once; follow it from then on.
+        """Start following the log and wait briefly for the first catch-up.
 
-        Callers are accepted after this, so a restarted router begins on the
-        configuration in the log. If the log does not answer within
-        ``START_PATIENCE_S`` the router serves on what it has.
+        Callers are accepted after this returns, so a restarted router serves
+        with the configuration in the log. If the log does not answer within
+        ``START_TIMEOUT_S``, the router serves with the configuration it has.
         """
         super().start()
-        self._caught_up.wait(START_PATIENCE_S)
+        self._caught_up.wait(START_TIMEOUT_S)
 
     def catch_up(self) -> None:
-        """Load the newest records, or seed an empty topic.
+        """Load the newest records, or seed the topic if it is empty.
 
         :raises LogServiceError: if the log did not answer.
         """
-        self._put_in_force(read_current(self._log_service, self._live.current))
+        self._activate(read_current(self._log_service, self._live.current))
 
     def follow_once(self) -> None:
-        """Wait once for records at the topic's end and put them in force.
+        """Wait once for records at the topic's end and apply them.
 
         :raises LogServiceError: if the log did not answer.
         """
@@ -270,15 +273,15 @@
         try:
             found = self._log_service.read(CONFIGURATION_TOPIC, offset, self._poll_s)
         except LogRecordsExpiredError:
-            self._put_in_force(load_newest(self._log_service))
+            self._activate(load_newest(self._log_service))
             return
         if found.records:
             state = ConfigurationState(self._live.current, offset)
-            self._put_in_force(read_state(self._log_service, state))
+            self._activate(read_state(self._log_service, state))
 
-    def _put_in_force(self, state: ConfigurationState) -> None:
+    def _activate(self, state: ConfigurationState) -> None:
         if self._live.advance(state.configuration, state.next_offset):
-            _log.info("In force offset={}.", state.next_offset - 1)
+            _log.info("Configuration in force offset={}.", state.next_offset - 1)
 
     def _run(self) -> None:
         while True:
@@ -288,5 +291,9 @@
                     self._caught_up.set()
                 self.follow_once()
             except LogServiceError as error:
-                _log.warning("Keeping offset={}: {}.", self._live.next_offset, error)
+                _log.warning(
+                    "Cannot read the log; keeping the configuration offset={}: {}.",
+                    self._live.next_offset,
+                    error,
+                )
                 self._sleep(RETRY_PAUSE_S)
--- a/src/kumquatseam/fleet/_live.py
+++ b/src/kumquatseam/fleet/_live.py
@@ -1,4 +1,4 @@
-"""The configuration in force now, shared by every part of a daemon."""
+"""The configuration in force, shared by all components of a daemon."""
 
 from collections.abc import Callable
 
@@ -8,9 +8,9 @@
 
 
 class LiveConfiguration:
-    """Holds the newest configuration and never goes back to an older one.
+    """Holds the newest configuration and never reverts to an older one.
 
-    :param configuration: the first configuration (the INI file's).
+    :param configuration: the initial configuration, from the INI file.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -25,18 +25,18 @@
 
     @property
     def next_offset(self) -> int:
-        """Every configuration record before this offset is in force."""
+        """Offset before which every configuration record is in force."""
         return self._next_offset
 
     def on_change(self, handler: ChangeHandler) -> None:
-        """Call ``handler`` with every configuration that comes into force."""
+        """Call ``handler`` with every new configuration."""
         self._handlers.append(handler)
 
     def advance(self, configuration: Configuration, next_offset: int) -> bool:
-        """Put ``configuration`` in force unless it is not newer.
+        """Put ``configuration`` in force if it is newer than the current one.
 
-        :param next_offset: the offset after the last record it includes.
-        :returns: whether it came into force.
+        :param next_offset: offset after the last record it includes.
+        :returns: whether it was newer.
         """
         if next_offset <= self._next_offset:
             return False
--- a/src/kumquatseam/fleet/_membership.py
+++ b/src/kumquatseam/fleet/_membership.py
@@ -1,14 +1,16 @@
-"""Which peers are alive: heartbeats, suspicion and news, with no agreement.
-
-Each router heartbeats a few fixed peers: those at distance 1, 2, 4, ... on a
-ring ordered by the hash of the names, so a fleet of n routers costs each one
-about log2(n) heartbeats an interval and news reaches everyone in as many
-steps. A peer that leaves a heartbeat unanswered is suspected, and after a
-further time dead; the suspicion travels as news, and a router that hears it
-is suspected refutes it under a higher incarnation. Suspicion, incarnations
-and news carried on heartbeats follow SWIM (Das, Gupta and Motivala, 2002).
-
-This module only decides; :mod:`kumquatseam.fleet._heartbeats` sends.
+"""Failure detection between routers by heartbeats and gossip, without consensus.
+
+Each router sends heartbeats to a few fixed peers: those at distance 1, 2, 4,
+... on a ring ordered by the hash of the names. In a fleet of n routers each
+sends about log2(n) heartbeats per interval, and an update reaches every
+router in as many steps. A peer that does not answer a heartbeat becomes
+suspect and, after a further timeout, dead. Suspicions are gossiped on
+heartbeats; a router that receives a suspicion about itself refutes it with a
+higher incarnation. Suspicion, incarnations and piggybacked updates follow
+SWIM (Das, Gupta and Motivala, 2002).
+
+This module holds the state; :mod:`kumquatseam.fleet._heartbeats` does the
+sending.
 """
 
 import math
@@ -18,7 +20,7 @@
 import attrs
 import xxhash
 
-from kumquatseam.fleet._messages import Heartbeat, MemberNews, RouterSummary
+from kumquatseam.fleet._messages import Heartbeat, MembershipUpdate, RouterSummary
 from kumquatseam.logs import part_logger
 from kumquatseam.settings import FleetSettings
 
@@ -27,25 +29,25 @@
 ALIVE = "alive"
 SUSPECT = "suspect"
 DEAD = "dead"
-_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
-#: up to this many peers, each router heartbeats all of them.
-FULL_MESH_PEERS = 8
-#: pieces of news carried on one heartbeat at most.
-NEWS_PER_HEARTBEAT = 8
+_SEVERITY = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
+#: up to this many peers, each router sends heartbeats to all of them.
+MAX_FULL_MESH_PEERS = 8
+#: most membership updates carried on one heartbeat.
+UPDATES_PER_HEARTBEAT = 8
 
 
 @attrs.define
 class Member:
-    """A peer as this router sees it.
+    """A peer's state as known to this router.
 
     :param name: its name.
     :param address: its control address.
-    :param incarnation: its life as last heard.
+    :param incarnation: its last known incarnation.
     :param state: ``"alive"``, ``"suspect"`` or ``"dead"``.
     :param since_s: monotonic time it entered that state.
-    :param next_offset: how much configuration is in force there.
-    :param asked_s: when the oldest heartbeat it left unanswered went out;
-        ``None`` if it left none.
+    :param next_offset: offset up to which its configuration is in force.
+    :param unanswered_since_s: monotonic time at which its oldest unanswered
+        heartbeat was sent; ``None`` if all were answered.
     """
 
     name: str
@@ -54,12 +56,12 @@
     state: str = ALIVE
     since_s: float = 0.0
     next_offset: int = 0
-    asked_s: float | None = None
+    unanswered_since_s: float | None = None
 
 
 @attrs.define
-class _Rumour:
-    news: MemberNews
+class _PendingUpdate:
+    update: MembershipUpdate
     sends_left: int
 
 
@@ -71,7 +73,7 @@
 
     :param name: this router's name.
     :param address: its control address.
-    :param incarnation: its life; must grow from one start to the next.
+    :param incarnation: a number higher than at any earlier start.
     :param settings: timeouts.
     :param clock: monotonic clock in seconds.
     """
@@ -90,7 +92,7 @@
         self._settings = settings
         self._clock = clock
         self._members: dict[str, Member] = {}
-        self._rumours: dict[str, _Rumour] = {}
+        self._pending_updates: dict[str, _PendingUpdate] = {}
         self._handlers: list[StateHandler] = []
 
     def on_state(self, handler: StateHandler) -> None:
@@ -106,17 +108,22 @@
         return 1 + sum(m.state != DEAD for m in self._members.values())
 
     def lease_rank(self, duty: str) -> int:
-        """Return this router's place in the order in which routers take a duty."""
+        """Return this router's rank among the routers that may acquire a lease.
+
+        :param duty: name of the lease.
+        """
         names = [m.name for m in self._members.values() if m.state == ALIVE]
-        ranked = sorted([*names, self.name], key=lambda n: _ring_place(f"{duty}:{n}"))
+        ranked = sorted(
+            [*names, self.name], key=lambda n: _ring_position(f"{duty}:{n}")
+        )
         return ranked.index(self.name)
 
     def set_listed(self, addresses: Mapping[str, str]) -> None:
-        """Take in the platform's list of routers, which lags.
+        """Update the peers from the platform's list of routers, which lags.
 
-        A peer that left the list is forgotten once it is also silent.
+        A peer no longer listed is removed once it is also dead.
 
-        :param addresses: control address by name.
+        :param addresses: control addresses by router name.
         """
         for name, address in addresses.items():
             if name == self.name:
@@ -131,18 +138,18 @@
                 del self._members[name]
 
     def targets(self) -> list[Member]:
-        """Return the peers to heartbeat.
+        """Return the peers to send heartbeats to.
 
-        A small fleet heartbeats everyone; a larger one those at power-of-two
-        distances on the ring.
+        In a small fleet these are all peers, in a larger one those at
+        power-of-two distances on the ring.
         """
         ring = sorted(
             [m for m in self._members.values() if m.state != DEAD],
-            key=lambda m: _ring_place(m.name),
+            key=lambda m: _ring_position(m.name),
         )
-        own_place = _ring_place(self.name)
-        start = sum(_ring_place(m.name) < own_place for m in ring)
-        if len(ring) <= FULL_MESH_PEERS:
+        own_position = _ring_position(self.name)
+        start = sum(_ring_position(m.name) < own_position for m in ring)
+        if len(ring) <= MAX_FULL_MESH_PEERS:
             return ring
         found = []
         distance = 1
@@ -151,29 +158,31 @@
             distance *= 2
         return found
 
-    def is_ring(self) -> bool:
-        """Return whether the fleet is too large to heartbeat everyone."""
-        return sum(m.state != DEAD for m in self._members.values()) > FULL_MESH_PEERS
+    def is_ring_topology(self) -> bool:
+        """Return whether the fleet is too large for a full mesh."""
+        return (
+            sum(m.state != DEAD for m in self._members.values()) > MAX_FULL_MESH_PEERS
+        )
 
     def heartbeat(self, next_offset: int, summary: RouterSummary) -> Heartbeat:
-        """Return the next heartbeat, with news still worth telling."""
+        """Return the next heartbeat to send, with pending membership updates."""
         return Heartbeat(
             self.name,
             self.address,
             self.incarnation,
             next_offset,
-            self._take_news(),
+            self._next_updates(),
             summary,
         )
 
     def note_heartbeat_sent(self, name: str) -> None:
-        """Note that a heartbeat went out to ``name``."""
+        """Record that a heartbeat was sent to ``name``."""
         member = self._members.get(name)
-        if member is not None and member.asked_s is None:
-            member.asked_s = self._clock()
+        if member is not None and member.unanswered_since_s is None:
+            member.unanswered_since_s = self._clock()
 
     def receive(self, heartbeat: Heartbeat) -> None:
-        """Take in a peer's heartbeat or its answer to ours."""
+        """Handle a peer's heartbeat, or its reply to one from this router."""
         if heartbeat.sender == self.name:
             return
         now_s = self._clock()
@@ -184,19 +193,23 @@
         if heartbeat.incarnation < member.incarnation:
             return
         member.address = heartbeat.address
-        member.asked_s = None
+        member.unanswered_since_s = None
         member.next_offset = max(member.next_offset, heartbeat.next_offset)
         member.incarnation = heartbeat.incarnation
-        # It speaks to us itself: silence was the only reason to doubt it.
+        # A direct message disproves any suspicion: those come from timeouts only.
         self._set_state(member, ALIVE)
-        for news in heartbeat.news:
-            self._hear(news)
+        for update in heartbeat.news:
+            self._apply_update(update)
 
     def tick(self) -> None:
-        """Suspect peers that left us unanswered, bury suspects in time."""
+        """Mark peers as suspect, and suspects as dead, after their timeouts."""
         now_s = self._clock()
         for member in self._members.values():
-            unanswered_s = now_s - member.asked_s if member.asked_s is not None else 0
+            unanswered_s = (
+                now_s - member.unanswered_since_s
+                if member.unanswered_since_s is not None
+                else 0
+            )
             if member.state == ALIVE and unanswered_s >= self._settings.suspect_after_s:
                 self._set_state(member, SUSPECT)
             elif (
@@ -205,20 +218,24 @@
             ):
                 self._set_state(member, DEAD)
 
-    def _hear(self, news: MemberNews) -> None:
-        if news.name == self.name:
-            if news.state != ALIVE and news.incarnation >= self.incarnation:
-                self.incarnation = news.incarnation + 1
-                _log.info("Refuting: {} under {}.", news.state, self.incarnation)
-                self._spread(MemberNews(self.name, self.incarnation, ALIVE))
+    def _apply_update(self, update: MembershipUpdate) -> None:
+        if update.name == self.name:
+            if update.state != ALIVE and update.incarnation >= self.incarnation:
+                self.incarnation = update.incarnation + 1
+                _log.info(
+                    "Refuting own state {} with incarnation={}.",
+                    update.state,
+                    self.incarnation,
+                )
+                self._queue_update(MembershipUpdate(self.name, self.incarnation, ALIVE))
             return
-        member = self._members.get(news.name)
-        if member is None or news.incarnation < member.incarnation:
+        member = self._members.get(update.name)
+        if member is None or update.incarnation < member.incarnation:
             return
-        newer = news.incarnation > member.incarnation
-        if newer or _RANK[news.state] > _RANK[member.state]:
-            member.incarnation = news.incarnation
-            self._set_state(member, news.state)
+        is_newer = update.incarnation > member.incarnation
+        if is_newer or _SEVERITY[update.state] > _SEVERITY[member.state]:
+            member.incarnation = update.incarnation
+            self._set_state(member, update.state)
 
     def _set_state(self, member: Member, state: str) -> None:
         if member.state == state:
@@ -233,40 +250,43 @@
         member.state = state
         member.since_s = self._clock()
         if state == ALIVE:
-            member.asked_s = None
+            member.unanswered_since_s = None
         for handler in self._handlers:
             handler(member.name, state)
-        self._spread(MemberNews(member.name, member.incarnation, state))
+        self._queue_update(MembershipUpdate(member.name, member.incarnation, state))
 
-    def _spread(self, news: MemberNews) -> None:
-        known = self._rumours.get(news.name)
-        if known is not None and known.news == news:
+    def _queue_update(self, update: MembershipUpdate) -> None:
+        known = self._pending_updates.get(update.name)
+        if known is not None and known.update == update:
             return
         count = max(2, len(self._members) + 1)
-        self._rumours[news.name] = _Rumour(news, 3 * math.ceil(math.log2(count)))
+        self._pending_updates[update.name] = _PendingUpdate(
+            update, 3 * math.ceil(math.log2(count))
+        )
 
-    def _take_news(self) -> tuple[MemberNews, ...]:
-        """Return the gravest and least told news and count this telling."""
+    def _next_updates(self) -> tuple[MembershipUpdate, ...]:
+        """Return the most severe and least sent updates and count this sending."""
         chosen = sorted(
-            self._rumours.values(), key=lambda r: (-_RANK[r.news.state], -r.sends_left)
+            self._pending_updates.values(),
+            key=lambda p: (-_SEVERITY[p.update.state], -p.sends_left),
         )
-        chosen = chosen[:NEWS_PER_HEARTBEAT]
-        for rumour in chosen:
-            rumour.sends_left -= 1
-            if rumour.sends_left <= 0:
-                del self._rumours[rumour.news.name]
-        return tuple(rumour.news for rumour in chosen)
+        chosen = chosen[:UPDATES_PER_HEARTBEAT]
+        for pending in chosen:
+            pending.sends_left -= 1
+            if pending.sends_left <= 0:
+                del self._pending_updates[pending.update.name]
+        return tuple(pending.update for pending in chosen)
 
 
 def next_incarnation() -> int:
-    """Return an incarnation above those of earlier starts."""
+    """Return an incarnation higher than that of any earlier start."""
     return int(time.time() * 1000)
 
 
 def router_addresses(instances: Iterable) -> dict[str, str]:
-    """Return the control address of every live router in the instance list."""
+    """Return the control address of every router in the instance list, by name."""
     return {i.name: i.address for i in instances if i.kind == "router"}
 
 
-def _ring_place(name: str) -> int:
+def _ring_position(name: str) -> int:
     return xxhash.xxh3_64_intdigest(name.encode())
--- a/src/kumquatseam/fleet/_messages.py
+++ b/src/kumquatseam/fleet/_messages.py
@@ -1,4 +1,4 @@
-"""Messages routers send each other, and their codec."""
+"""Control messages between routers, and their codec."""
 
 from collections.abc import Mapping, Sequence
 
@@ -8,15 +8,15 @@
 from kumquatseam.codec import MessageCodec
 from kumquatseam.fleet._records import ConfigurationSnapshot
 
-#: requests by priority rank.
+#: number of requests by priority rank.
 RankCounts = Mapping[int, int]
 
 
 @attrs.frozen
 class Placement:
-    """An opening and the engine a router just placed it on.
+    """A routing decision: the first blocks of a prompt and the chosen engine.
 
-    :param opening: block key of the opening.
+    :param opening: block key of the prompt's first blocks.
     :param engine: the engine's name.
     """
 
@@ -26,16 +26,16 @@
 
 @attrs.frozen
 class RouterSummary:
-    """What a router tells its peers about its own work.
+    """A router's load and recent routing decisions, sent with heartbeats.
 
-    Engines are named once, by a short hash (:func:`engine_id`), and referred
-    to by place, since a summary goes to every peer several times a second.
+    Engines are listed once, by a short hash (:func:`engine_id`), and referred
+    to by index, since a summary goes to every peer several times a second.
 
-    :param engines: ids of the engines it speaks of.
-    :param requests: its requests in flight on each of them, in that order, by
-        priority rank.
-    :param openings: block keys of the openings it placed lately.
-    :param placed_on: the place in ``engines`` each opening went to.
+    :param engines: ids of the engines referred to.
+    :param requests: the router's requests in flight on each engine, in the order
+        of ``engines``, by priority rank.
+    :param openings: block keys of the prompt openings it routed recently.
+    :param placed_on: index in ``engines`` of the engine chosen for each opening.
     """
 
     engines: tuple[int, ...] = ()
@@ -47,48 +47,48 @@
     def of(
         cls, loads: Mapping[str, RankCounts], placements: Sequence[Placement]
     ) -> "RouterSummary":
-        """Return the summary of some loads and placements."""
+        """Return the summary of ``loads`` and ``placements``."""
         placed = (p.engine for p in placements if p.engine not in loads)
         names = [*loads, *dict.fromkeys(placed)]
-        places = {name: place for place, name in enumerate(names)}
+        indexes = {name: index for index, name in enumerate(names)}
         return cls(
             engines=tuple(engine_id(name) for name in names),
             requests=tuple(dict(loads.get(name, {})) for name in names),
             openings=tuple(p.opening for p in placements),
-            placed_on=tuple(places[p.engine] for p in placements),
+            placed_on=tuple(indexes[p.engine] for p in placements),
         )
 
     def loads(self, names: Mapping[int, str]) -> dict[str, RankCounts]:
-        """Return the requests in flight by engine and rank.
+        """Return the number of requests in flight by engine and priority rank.
 
-        :param names: engine names by id; others are left out.
+        :param names: engine names by id; engines not in it are omitted.
         """
         pairs = zip(self.engines, self.requests, strict=False)
         return {names[i]: requests for i, requests in pairs if i in names}
 
     def placements(self, names: Mapping[int, str]) -> list[Placement]:
-        """Return the openings placed lately.
+        """Return the recent routing decisions.
 
-        :param names: engine names by id; others are left out.
+        :param names: engine names by id; engines not in it are omitted.
         """
         found = []
-        for opening, place in zip(self.openings, self.placed_on, strict=False):
-            if place < len(self.engines) and self.engines[place] in names:
-                found.append(Placement(opening, names[self.engines[place]]))
+        for opening, index in zip(self.openings, self.placed_on, strict=False):
+            if index < len(self.engines) and self.engines[index] in names:
+                found.append(Placement(opening, names[self.engines[index]]))
         return found
 
 
 def engine_id(name: str) -> int:
-    """Return the 32-bit id an engine goes by in summaries."""
+    """Return the 32-bit id of an engine used in summaries."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 @attrs.frozen
-class MemberNews:
-    """What one router believes of another.
+class MembershipUpdate:
+    """The state of one router as known to another, gossiped on heartbeats.
 
-    :param name: the member.
-    :param incarnation: its life, as it counts them itself.
+    :param name: the router's name.
+    :param incarnation: the router's incarnation, which only it increments.
     :param state: ``"alive"``, ``"suspect"`` or ``"dead"``.
     """
 
@@ -99,21 +99,23 @@
 
 @attrs.frozen
 class Heartbeat:
-    """A sign of life from one router to another.
+    """A heartbeat from one router to another.
 
     :param sender: the sender's name.
     :param address: its control address.
-    :param incarnation: its life; a later one refutes news of an earlier.
-    :param next_offset: every configuration record before it is in force there.
-    :param news: what it heard of other members lately.
-    :param summary: what it tells of its own work.
+    :param incarnation: the sender's incarnation; a higher one supersedes updates
+        about a lower one.
+    :param next_offset: offset before which every configuration record is in force
+        at the sender.
+    :param news: membership updates about other routers.
+    :param summary: the sender's load and recent routing decisions.
     """
 
     sender: str
     address: str
     incarnation: int
     next_offset: int
-    news: tuple[MemberNews, ...] = ()
+    news: tuple[MembershipUpdate, ...] = ()
     summary: RouterSummary = RouterSummary()
 
 
@@ -121,7 +123,7 @@
 class QueryRequest:
     """An operator's query.
 
-    :param text: the query in the operators' language.
+    :param text: the query, in the operators' query language.
     """
 
     text: str
@@ -129,9 +131,9 @@
 
 @attrs.frozen
 class Row:
-    """One row of an answer.
+    """One row of a query result.
 
-    :param cells: texts in the order of the subject's columns.
+    :param cells: cell texts in the order of the subject's columns.
     """
 
     cells: tuple[str, ...]
@@ -142,7 +144,8 @@
     """One router's answer to a query.
 
     :param router: the router's name.
-    :param next_offset: every configuration record before it is in force there.
+    :param next_offset: offset before which every configuration record is in force
+        there.
     :param rows: the rows.
     """
 
@@ -156,7 +159,7 @@
     """A router could not answer a query.
 
     :param router: the router's name.
-    :param reason: why not.
+    :param reason: why it failed.
     """
 
     router: str
@@ -165,15 +168,16 @@
 
 @attrs.frozen
 class WarmStateRequest:
-    """A restarted router asks a peer for what it knows of engines' caches."""
+    """Request of a restarted router for a peer's record of the engines' caches."""
 
 
 @attrs.frozen
 class EngineBlocks:
-    """Blocks an engine probably holds.
+    """KV cache blocks that an engine probably holds.
 
     :param engine: the engine's name.
-    :param epoch: the engine's life they belong to.
+    :param epoch: the engine epoch in which the blocks were stored; it changes
+        when the engine restarts.
     :param keys: block keys, newest last.
     """
 
@@ -184,9 +188,9 @@
 
 @attrs.frozen
 class WarmState:
-    """What a router knows of engines' caches.
+    """A router's record of which KV cache blocks each engine holds.
 
-    :param router: whose knowledge it is.
+    :param router: name of the router.
     :param engines: blocks per engine.
     """
 
@@ -196,7 +200,7 @@
 
 @attrs.frozen
 class ConfigurationRequest:
-    """A router asks a peer for the configuration in force there."""
+    """Request for the configuration in force at a peer."""
 
 
 CONTROL_CODEC = MessageCodec(
--- a/src/kumquatseam/fleet/_peer_configuration.py
+++ b/src/kumquatseam/fleet/_peer_configuration.py
@@ -1,9 +1,10 @@
-"""Taking the configuration from a peer while the log service is out of reach.
+"""Fetch the configuration from a peer while the log service is unreachable.
 
-Heartbeats tell how much configuration is in force at each peer. A router
-that has less than a peer (it just restarted during an outage, or only it is
-cut off from the log) asks that peer, so an accepted configuration stays in
-force at a router that restarts, and nothing accepted is ever taken back.
+Heartbeats carry the offset up to which each peer's configuration is in force.
+A router that is behind a peer, because it restarted during an outage of the
+log or is itself partitioned from it, fetches the configuration from that
+peer. An accepted configuration thus survives a router's restart and is never
+reverted.
 """
 
 from collections.abc import Callable
@@ -18,8 +19,8 @@
 )
 from kumquatseam.fleet._records import (
     ConfigurationSnapshot,
-    configuration_of,
-    snapshot_of,
+    from_snapshot,
+    to_snapshot,
 )
 from kumquatseam.instances import InstanceList, InstanceListError
 from kumquatseam.logs import part_logger
@@ -27,26 +28,26 @@
 
 _log = part_logger("config")
 
-ASK_TIMEOUT_S = 1.0
-#: how long a router that is ahead may stay so before it is asked; the log's
-#: own answer usually comes first.
-PATIENCE_S = 1.0
-#: routers asked at most before a starting router accepts callers.
-START_ASKS = 3
+QUERY_TIMEOUT_S = 1.0
+#: how long this router may be behind a peer before it queries that peer; the
+#: records usually arrive from the log first.
+LAG_GRACE_S = 1.0
+#: most routers queried before a starting router accepts callers.
+MAX_BOOTSTRAP_QUERIES = 3
 
 
-def ask_router(address: str, message: ControlMessage) -> ControlMessage | None:
-    """Ask the router at ``address`` once."""
-    return ask_once(address, CONTROL_CODEC, message, ASK_TIMEOUT_S)
+def query_router(address: str, message: ControlMessage) -> ControlMessage | None:
+    """Send ``message`` to the router at ``address`` and return its reply, if any."""
+    return ask_once(address, CONTROL_CODEC, message, QUERY_TIMEOUT_S)
 
 
 class PeerConfigurationSync:
-    """Keeps this router from falling behind its peers.
+    """Fetches the configuration from a peer that has a newer one.
 
     :param live: the configuration in force here.
-    :param membership: names the peers and what is in force there.
+    :param membership: the peers and their configuration offsets.
     :param clock: monotonic clock in seconds.
-    :param ask: asks the router at an address.
+    :param query: sends a message to the router at an address and returns the reply.
     """
 
     def __init__(
@@ -54,20 +55,20 @@
         live: LiveConfiguration,
         membership: Membership,
         clock: Callable[[], float],
-        ask: Callable[[str, ControlMessage], ControlMessage | None] = ask_router,
+        query: Callable[[str, ControlMessage], ControlMessage | None] = query_router,
     ) -> None:
         self._live = live
         self._membership = membership
         self._clock = clock
-        self._ask = ask
+        self._query = query
         self._behind_since_s: float | None = None
 
     def snapshot(self) -> ConfigurationSnapshot:
-        """Return the configuration in force here, for a peer that asks."""
-        return snapshot_of(self._live.current, self._live.next_offset)
+        """Return the configuration in force here, to reply to a peer's request."""
+        return to_snapshot(self._live.current, self._live.next_offset)
 
     def step(self) -> None:
-        """Ask the peer furthest ahead once it has been so for a while."""
+        """Query the peer furthest ahead once this router has lagged for a while."""
         ahead = [
             member
             for member in self._membership.members()
@@ -79,39 +80,45 @@
         now_s = self._clock()
         if self._behind_since_s is None:
             self._behind_since_s = now_s
-        if now_s - self._behind_since_s >= PATIENCE_S or not self._live.next_offset:
+        if now_s - self._behind_since_s >= LAG_GRACE_S or not self._live.next_offset:
             furthest = max(ahead, key=lambda member: member.next_offset)
-            self.take_from(furthest.address)
+            self.fetch_from(furthest.address)
 
-    def take_from(self, address: str) -> bool:
-        """Put the configuration of the router at ``address`` in force.
+    def fetch_from(self, address: str) -> bool:
+        """Fetch the configuration of the router at ``address`` and apply it.
 
         :returns: whether it was newer than the one here.
         """
-        reply = self._ask(address, ConfigurationRequest())
+        reply = self._query(address, ConfigurationRequest())
         if not isinstance(reply, ConfigurationSnapshot):
             return False
         try:
-            configuration = configuration_of(reply)
+            configuration = from_snapshot(reply)
         except KumquatseamError as error:
-            _log.warning("Cannot take the configuration of {}: {}.", address, error)
+            _log.warning(
+                "Cannot decode the configuration from peer {}: {}.", address, error
+            )
             return False
         if not self._live.advance(configuration, reply.next_offset):
             return False
-        _log.info("In force offset={} from peer {}.", reply.next_offset - 1, address)
+        _log.info(
+            "Configuration in force offset={} from peer {}.",
+            reply.next_offset - 1,
+            address,
+        )
         return True
 
 
 class PeerBootstrap:
-    """Asks listed routers before callers are accepted, if the log is silent.
+    """Fetches the configuration from listed routers if the log did not answer.
 
-    Started after the follower and before the caller interface. A router that
-    restarts during an outage of the log then begins on the configuration its
-    peers have, not on its INI file.
+    Start it after the follower and before the caller interface. A router that
+    restarts during an outage of the log then serves with its peers'
+    configuration instead of its INI file's.
 
     :param live: the configuration in force here.
-    :param instances: lists the routers.
-    :param configuration: asks them.
+    :param instances: the instance list, which names the routers.
+    :param configuration: fetches the configuration from a router.
     :param own_name: this router's name.
     """
 
@@ -128,18 +135,18 @@
         self._own_name = own_name
 
     def start(self) -> None:
-        """Ask a few routers, unless the log answered already."""
+        """Query a few routers, unless the log has already answered."""
         if self._live.next_offset:
             return
         try:
             addresses = router_addresses(self._instances.read())
         except InstanceListError as error:
-            _log.info("No peers known: {}.", error)
+            _log.info("Cannot read the instance list to find peers: {}.", error)
             return
         addresses.pop(self._own_name, None)
-        for address in list(addresses.values())[:START_ASKS]:
-            if self._configuration.take_from(address):
+        for address in list(addresses.values())[:MAX_BOOTSTRAP_QUERIES]:
+            if self._configuration.fetch_from(address):
                 return
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing; there is nothing to close."""
--- a/src/kumquatseam/fleet/_records.py
+++ b/src/kumquatseam/fleet/_records.py
@@ -1,10 +1,9 @@
-"""Configuration records kept in the log service, and their codec.
+"""Configuration records in the log service, and their codec.
 
-The configuration lives in one keyed topic: the newest record of each entity
-is kept for good, whatever else the log forgets. An operator's command
-appends the entities it changes, whole, in one append. Values are texts, as
-in the INI file, so a record stays readable for a daemon that knows more or
-fewer fields.
+The configuration is stored in one keyed topic, in which the newest record of
+each entity never expires. An operator's command appends the complete state
+of every entity it changes, in one append. Values are texts, as in the INI
+file, so that daemons of versions with more or fewer fields can decode them.
 """
 
 import uuid
@@ -29,12 +28,12 @@
 
 @attrs.frozen
 class EntityChange:
-    """A change to one entity, as an operator's command names it.
+    """A change to one entity, as given in an operator's command.
 
     :param verb: :data:`CREATE`, :data:`ALTER` or :data:`DROP`.
     :param kind: the kind of entity, e.g. ``"team"``.
     :param name: its name.
-    :param fields: the values given; an alteration leaves the others as is.
+    :param fields: the values given; :data:`ALTER` leaves the others unchanged.
     """
 
     verb: str
@@ -45,14 +44,14 @@
 
 @attrs.frozen
 class EntityRecord:
-    """An entity as a command left it; the record's key names the entity.
+    """An entity's state after a command; the record's key identifies the entity.
 
-    :param command_id: unique per command, so a lost answer can be resolved
-        by reading back.
+    :param command_id: unique per command, so that after a lost reply the append
+        can be confirmed by reading the log.
     :param operator: who issued the command.
-    :param index: this record's place among the command's records.
-    :param count: how many records the command has; all apply together.
-    :param is_dropped: whether the entity is no more.
+    :param index: index of this record among the command's records.
+    :param count: number of records of the command; all are applied together.
+    :param is_dropped: whether the entity was dropped.
     :param fields: every value of the entity.
     """
 
@@ -75,9 +74,9 @@
 
 @attrs.frozen
 class ConfigurationSnapshot:
-    """A whole configuration as text values, told between routers.
+    """A complete configuration as text values, sent between routers.
 
-    :param next_offset: the offset after the last record it includes.
+    :param next_offset: offset after the last record it includes.
     :param entities: every entity.
     """
 
@@ -89,7 +88,7 @@
 
 
 def new_record_id() -> str:
-    """Return an id no other record has."""
+    """Return a unique id."""
     return uuid.uuid4().hex
 
 
@@ -104,33 +103,33 @@
     return kind, name
 
 
-def values_of(entity: Entity) -> tuple[FieldValue, ...]:
+def field_values(entity: Entity) -> tuple[FieldValue, ...]:
     """Return every value of ``entity`` as text."""
     return tuple(FieldValue(k, text) for k, text in write_fields(entity).items())
 
 
-def entity_of(kind: str, name: str, fields: tuple[FieldValue, ...]) -> Entity:
-    """Return the entity described by text values.
+def parse_entity(kind: str, name: str, fields: tuple[FieldValue, ...]) -> Entity:
+    """Return the entity built from text values.
 
-    :raises FieldFault: if they do not describe one.
+    :raises FieldFault: if a value is missing or invalid.
     """
     return build_entity(kind, name, {field.key: field.text for field in fields})
 
 
-def snapshot_of(configuration: Configuration, next_offset: int):
+def to_snapshot(configuration: Configuration, next_offset: int):
     """Return ``configuration`` as a :class:`ConfigurationSnapshot`."""
     entities = tuple(
-        EntityText(kind, entity.name, values_of(entity))
+        EntityText(kind, entity.name, field_values(entity))
         for kind, entity in configuration.entities()
     )
     return ConfigurationSnapshot(next_offset, entities)
 
 
-def configuration_of(snapshot: ConfigurationSnapshot) -> Configuration:
-    """Return the configuration a snapshot holds.
+def from_snapshot(snapshot: ConfigurationSnapshot) -> Configuration:
+    """Return the configuration in ``snapshot``.
 
-    :raises FieldFault: if an entity cannot be read.
+    :raises FieldFault: if an entity is invalid.
     """
     return Configuration.of(
-        (e.kind, entity_of(e.kind, e.name, e.fields)) for e in snapshot.entities
+        (e.kind, parse_entity(e.kind, e.name, e.fields)) for e in snapshot.entities
     )
--- a/src/kumquatseam/fleet/_rollout.py
+++ b/src/kumquatseam/fleet/_rollout.py
@@ -1,11 +1,11 @@
-"""Bringing engines to the weights, adapters and role the configuration names.
-
-One router holds the duty. It compares what each engine names in its load
-reports with what it is to have and gives orders, a few at a time since the
-weight store is rate-limited. Only what an engine says of itself counts: an
-order's answer proves nothing, because a paused router's late order may be
-carried out after it by an engine that ignores fencing tokens. Such an engine
-then names the wrong weights and is ordered again.
+"""Roll out the weights, adapters and roles given in the configuration.
+
+One router holds the rollout lease. It compares each engine's load reports
+with the configuration and sends orders, a few at a time because the weight
+store is rate-limited. Progress is judged by the engines' reports only. The
+reply to an order proves nothing: an engine that ignores fencing tokens may
+later carry out a delayed order of a router that was paused. Such an engine
+then reports the wrong weights and receives another order.
 """
 
 import abc
@@ -31,49 +31,49 @@
 
 _log = part_logger("rollout")
 
-#: engines loading weights at once; the weight store slows down past three.
+#: most engines loading weights at once; the weight store slows down beyond three.
 MAX_LOADS = 3
-#: an order whose weights have not appeared after this long is given again.
-ORDER_PATIENCE_S = 5.0
+#: an order is sent again if its effect is not reported within this time.
+ORDER_TIMEOUT_S = 5.0
 
 
 class EngineReports(abc.ABC):
-    """What engines last said of themselves."""
+    """The newest load reports of the engines."""
 
     @abc.abstractmethod
     def epoch(self, engine: str) -> str | None:
-        """Return the engine's life as last heard."""
+        """Return the engine's last reported epoch, which changes on a restart."""
 
     @abc.abstractmethod
     def reported_model(self, engine: str, model: str) -> ModelVersion | None:
-        """Return what the engine last said it runs of ``model``."""
+        """Return the version of ``model`` the engine last reported running."""
 
     @abc.abstractmethod
     def role(self, engine: str) -> str:
-        """Return the role the engine last named."""
+        """Return the engine's last reported role."""
 
 
 @attrs.frozen
-class _Due:
-    """An order that is due; the same one is not given again too soon.
+class _RequiredOrder:
+    """An order needed to bring an engine to its configured state.
 
     :param engine: the engine's name.
-    :param named: the weights it is to run, or ``None`` for a role.
-    :param role: the role it is to have, or ``""`` for weights.
+    :param weights: the weights to load, or ``None`` for an order to change roles.
+    :param role: the role to take, or ``""`` for an order to load weights.
     """
 
     engine: str
-    named: ModelVersion | None = None
+    weights: ModelVersion | None = None
     role: str = ""
 
 
 class WeightsRollout:
-    """Orders engines to what they are to run and be.
+    """Sends orders to engines whose weights or role differ from the configuration.
 
     :param live: the configuration in force.
-    :param lease: this router's part in the duty.
-    :param orders: gives the orders.
-    :param reports: what engines say of themselves.
+    :param lease: the rollout lease, which this router may hold.
+    :param orders: sends the orders.
+    :param reports: the engines' newest reports.
     :param holder: this router's name.
     :param clock: monotonic clock in seconds.
     """
@@ -93,52 +93,52 @@
         self._reports = reports
         self._holder = holder
         self._clock = clock
-        self._ordered_s: dict[_Due, float] = {}
+        self._sent_s: dict[_RequiredOrder, float] = {}
 
     def step(self) -> None:
-        """Give the orders that are due now, if this router holds the duty."""
+        """Send the orders required now, if this router holds the lease."""
         if self._lease.fence is None:
-            self._ordered_s.clear()
+            self._sent_s.clear()
             return
-        due = list(self._due())
+        required = list(self._required_orders())
         now_s = self._clock()
-        self._ordered_s = {d: s for d, s in self._ordered_s.items() if d in due}
-        pending = {
-            d for d, s in self._ordered_s.items() if now_s - s < ORDER_PATIENCE_S
-        }
-        # Engines that accept and show nothing must not keep the others from loading.
-        due.sort(key=lambda order: self._ordered_s.get(order, -math.inf))
-        for order in due:
+        self._sent_s = {o: s for o, s in self._sent_s.items() if o in required}
+        pending = {o for o, s in self._sent_s.items() if now_s - s < ORDER_TIMEOUT_S}
+        # Least recently sent first: an engine that accepts orders without carrying
+        # them out must not keep the others from loading.
+        required.sort(key=lambda order: self._sent_s.get(order, -math.inf))
+        for order in required:
             if len(pending) >= MAX_LOADS:
                 return
-            if order not in pending and self._give(order):
-                self._ordered_s[order] = self._clock()
+            if order not in pending and self._send(order):
+                self._sent_s[order] = self._clock()
                 pending.add(order)
 
-    def _due(self) -> Iterator[_Due]:
-        """Yield what engines are to run or be but do not say they do."""
+    def _required_orders(self) -> Iterator[_RequiredOrder]:
+        """Yield an order per difference between the configuration and the reports."""
         configuration = self._live.current
         for upstream in configuration.upstreams:
             name = upstream.name
             if self._reports.role(name) != upstream.role:
-                yield _Due(name, role=upstream.role)
+                yield _RequiredOrder(name, role=upstream.role)
             for model in upstream.models:
-                named = self._reports.reported_model(name, model)
+                reported = self._reports.reported_model(name, model)
                 desired = ModelVersion(
                     model,
                     configuration.desired_version(upstream, model),
                     configuration.model(model).adapters,
                 )
-                if named is not None and named != desired:
-                    yield _Due(name, desired)
+                if reported is not None and reported != desired:
+                    yield _RequiredOrder(name, desired)
 
-    def _give(self, due: _Due) -> bool:
+    def _send(self, required: _RequiredOrder) -> bool:
+        """Send an order; return ``False`` if it was not sent or was refused."""
         fence = self._lease.fence
-        upstream = self._live.current.upstream(due.engine)
+        upstream = self._live.current.upstream(required.engine)
         if fence is None:
             return False
-        order = self._order(due, fence)
-        _log.info("Ordering engine={} {}.", due.engine, order)
+        order = self._build_order(required, fence)
+        _log.info("Sending an order to engine={}: {}.", required.engine, order)
         try:
             self._orders.send(EngineTarget(upstream.name, upstream.url), order)
         except OrderRefusedError as error:
@@ -148,11 +148,11 @@
             _log.warning("{}.", error)
         return True
 
-    def _order(self, due: _Due, fence: int) -> EngineOrder:
-        epoch = self._reports.epoch(due.engine)
-        if due.named is None:
-            return RoleOrder(due.role, self._holder, fence, epoch)
-        named = due.named
+    def _build_order(self, required: _RequiredOrder, fence: int) -> EngineOrder:
+        epoch = self._reports.epoch(required.engine)
+        if required.weights is None:
+            return RoleOrder(required.role, self._holder, fence, epoch)
+        weights = required.weights
         return LoadOrder(
-            named.model, named.version, named.adapters, self._holder, fence, epoch
+            weights.model, weights.version, weights.adapters, self._holder, fence, epoch
         )
--- a/src/kumquatseam/fleet/_router_records.py
+++ b/src/kumquatseam/fleet/_router_records.py
@@ -1,4 +1,4 @@
-"""The routers alive, as those see them that look after something for all."""
+"""The live routers as instance records, for the quarantine."""
 
 from collections.abc import Sequence
 
@@ -7,12 +7,13 @@
 
 
 class RouterRecords:
-    """Which routers there are, and where they take datagrams.
+    """The live routers and their datagram addresses.
 
-    A router takes them over UDP at the port it answers its peers at over TCP.
+    A router receives datagrams on the UDP port with the number of the TCP port
+    of its control address.
 
-    :param name: this router.
-    :param membership: its view of its peers; ``None`` if it stands alone.
+    :param name: this router's name.
+    :param membership: its peers; ``None`` if it runs without peers.
     """
 
     def __init__(self, name: str, membership: Membership | None) -> None:
@@ -23,18 +24,18 @@
 
     @property
     def own_address(self) -> str:
-        """Where this router takes datagrams, as ``host:port``."""
+        """Datagram address of this router, as ``host:port``."""
         return self._own.address
 
     def all(self) -> Sequence[InstanceRecord]:
-        """Return every router; the same object as long as nothing changed."""
+        """Return every live router; the same object while nothing changes."""
         records = (self._own, *self._peers())
         if records != self._records:
             self._records = records
         return self._records
 
     def peer_addresses(self) -> list[str]:
-        """Return where the other routers take datagrams."""
+        """Return the datagram addresses of the other routers."""
         return [record.address for record in self._peers()]
 
     def _peers(self) -> list[InstanceRecord]:
@@ -48,5 +49,5 @@
 
 
 def _host_and_port(address: str) -> str:
-    """Return an nng address without its scheme."""
+    """Return an nng address without its URL scheme."""
     return address.rpartition("://")[2]
--- a/src/kumquatseam/fleet/_snapshots.py
+++ b/src/kumquatseam/fleet/_snapshots.py
@@ -1,8 +1,9 @@
 """Snapshots of the warm state in the log service.
 
-The duty's holder writes what it knows of engines' caches at an interval, so
-a fleet of any size costs the log one writer. Records expire, the newest
-record of a keyed topic does not.
+The warm state records which KV cache blocks the engines hold. Only the holder
+of the lease writes it, at an interval, so the log has one writer whatever the
+size of the fleet. The newest record of a keyed topic does not expire, unlike
+other records.
 """
 
 import time
@@ -21,7 +22,7 @@
 
 
 def read_warm_state(log: LogService) -> WarmState | None:
-    """Return the newest warm state kept, if there is one.
+    """Return the newest warm state in the log, or ``None`` if there is none.
 
     :raises LogServiceError: if the log did not answer.
     """
@@ -30,17 +31,17 @@
             try:
                 return CONTROL_CODEC.decode(record.value)
             except CodecError as error:
-                _log.warning("Cannot read the warm state: {}.", error)
+                _log.warning("Cannot decode the warm-state snapshot: {}.", error)
     return None
 
 
 class SnapshotWriter:
-    """Writes the warm state while this router holds the duty.
+    """Writes the warm state while this router holds the lease.
 
     :param log: the log service.
-    :param lease: this router's part in the duty.
+    :param lease: the lease, which this router may hold.
     :param interval_s: seconds between two snapshots.
-    :param read_warm_state: returns what this router knows of caches.
+    :param read_warm_state: returns this router's warm state.
     :param clock: monotonic clock in seconds.
     """
 
@@ -60,7 +61,7 @@
         self._written_s: float | None = None
 
     def step(self) -> None:
-        """Write what is due, if this router holds the duty."""
+        """Write a snapshot if one is due and this router holds the lease."""
         now_s = self._clock()
         if self._lease.fence is None:
             return
@@ -70,7 +71,7 @@
         try:
             self._write_warm_state()
         except LogServiceError as error:
-            _log.warning("Not written: {}.", error)
+            _log.warning("Warm-state snapshot not written: {}.", error)
 
     def _write_warm_state(self) -> None:
         state = self._read_warm_state()
--- a/src/kumquatseam/instances/__init__.py
+++ b/src/kumquatseam/instances/__init__.py
@@ -1,8 +1,8 @@
 """The platform's list of live and leaving instances.
 
-- :class:`InstanceList` is the interface, :class:`HttpInstanceList` its client.
-- :class:`InstanceRegistration` shows one of our processes in the list.
-- :class:`InstanceWatcher` hands every new reading to a handler.
+- :class:`InstanceList` is the interface, :class:`HttpInstanceList` its HTTP client.
+- :class:`InstanceRegistration` keeps this process registered in the list.
+- :class:`InstanceWatcher` polls the list and calls a handler with the result.
 """
 
 from kumquatseam.instances._client import (
--- a/src/kumquatseam/instances/_client.py
+++ b/src/kumquatseam/instances/_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's instance list over HTTP."""
+"""HTTP client of the platform's instance list."""
 
 import abc
 import json
@@ -14,37 +14,37 @@
 
 @attrs.define(frozen=True, eq=False)
 class InstanceListError(KumquatseamError):
-    """The instance list did not answer.
+    """A call to the instance list failed.
 
-    :param detail: how the call ended.
+    :param detail: the cause, such as a timeout or an HTTP status.
     """
 
     detail: str
 
     def __str__(self) -> str:
-        return f"instances: no answer: {self.detail}"
+        return f"instances: call to the instance list failed: {self.detail}"
 
 
 class InstanceList(abc.ABC):
-    """The platform's list; what it shows lags behind what is."""
+    """The platform's instance list, which lags behind the actual state."""
 
     @abc.abstractmethod
     def read(self) -> tuple[Instance, ...]:
         """Return every listed instance.
 
-        :raises InstanceListError: if the list did not answer.
+        :raises InstanceListError: if the call failed.
         """
 
     @abc.abstractmethod
-    def show(self, instance: Instance) -> None:
-        """Show ``instance`` in the list, or keep it there.
+    def register(self, instance: Instance) -> None:
+        """Add ``instance`` to the list, or renew its entry.
 
-        :raises InstanceListError: if the list did not answer.
+        :raises InstanceListError: if the call failed.
         """
 
 
 class HttpInstanceList(InstanceList):
-    """The list at an HTTP address.
+    """The instance list of an HTTP server.
 
     :param url: base URL.
     :param timeout_s: timeout of a call.
@@ -55,14 +55,14 @@
         self._pool = urllib3.PoolManager(retries=False, timeout=timeout_s)
 
     def read(self) -> tuple[Instance, ...]:
-        answer = self._call("GET", "/instances")
+        reply = self._call("GET", "/instances")
         try:
-            listed = json.loads(answer)["instances"]
+            listed = json.loads(reply)["instances"]
             return tuple(Instance(**fields) for fields in listed)
         except (ValueError, KeyError, TypeError) as error:
-            raise InstanceListError(f"unreadable answer: {error!r}") from error
+            raise InstanceListError(f"cannot decode the reply: {error!r}") from error
 
-    def show(self, instance: Instance) -> None:
+    def register(self, instance: Instance) -> None:
         body = json.dumps(attrs.asdict(instance)).encode()
         self._call("PUT", f"/instances/{instance.name}", body)
 
--- a/src/kumquatseam/instances/_instance.py
+++ b/src/kumquatseam/instances/_instance.py
@@ -8,11 +8,11 @@
 
 @attrs.frozen
 class Instance:
-    """A process the platform lists.
+    """A process in the instance list.
 
     :param name: its name.
     :param kind: ``"engine"``, ``"service"`` or ``"router"``.
-    :param address: where it is reached (HTTP URL, or nng for routers).
+    :param address: its HTTP URL, or its nng address if it is a router.
     :param zone: its availability zone.
     :param state: :data:`LIVE` or :data:`LEAVING`.
     """
--- a/src/kumquatseam/instances/_watcher.py
+++ b/src/kumquatseam/instances/_watcher.py
@@ -1,4 +1,4 @@
-"""Reading the instance list at an interval."""
+"""Poll the instance list."""
 
 from collections.abc import Callable
 
@@ -11,13 +11,14 @@
 
 
 class InstanceWatcher:
-    """Hands every reading of the list to a handler.
+    """Polls the instance list and calls a handler with every result.
 
-    While the list does not answer, the last reading stays in use.
+    While the list does not answer, the handler is not called, so the last
+    result stays in use.
 
     :param instances: the list.
-    :param interval_s: seconds between two readings.
-    :param handler: called with every reading.
+    :param interval_s: seconds between two polls.
+    :param handler: called with the listed instances.
     """
 
     def __init__(
@@ -28,22 +29,22 @@
     ) -> None:
         self._instances = instances
         self._handler = handler
-        self._answers = True
-        self._loop = StepLoop(interval_s, self._read, runs_at_once=True)
+        self._is_reachable = True
+        self._loop = StepLoop(interval_s, self._poll, runs_at_once=True)
 
     def start(self) -> None:
-        """Begin reading."""
+        """Start polling."""
         self._loop.start()
 
     def close(self) -> None:
-        """Stop reading."""
+        """Stop polling."""
         self._loop.close()
 
-    def _read(self) -> None:
+    def _poll(self) -> None:
         try:
             self._handler(self._instances.read())
-            self._answers = True
+            self._is_reachable = True
         except InstanceListError as error:
-            if self._answers:
-                _log.warning("Keeping the last reading: {}.", error)
-            self._answers = False
+            if self._is_reachable:
+                _log.warning("Keeping the last list of instances: {}.", error)
+            self._is_reachable = False
