--- a/src/kumquatseam/gateway/__init__.py
+++ b/src/kumquatseam/gateway/__init__.py
@@ -9,8 +9,8 @@
 
 from kumquatseam.gateway._adapter import Adapter
 from kumquatseam.gateway._call import (
-    AnswerTraits,
     Call,
+    ResponseTraits,
     SendOptions,
 )
 from kumquatseam.gateway._dialect import Dialect, MalformedCallError
@@ -20,7 +20,7 @@
 
 __all__ = [
     "Adapter",
-    "AnswerTraits",
+    "ResponseTraits",
     "Call",
     "Dialect",
     "GatewayServer",
--- a/src/kumquatseam/gateway/_call.py
+++ b/src/kumquatseam/gateway/_call.py
@@ -16,7 +16,7 @@
     :param prompt: the prompt's parts.
     :param prompt_tokens: tokens to read, as the caller counts them.
     :param max_output_tokens: tokens to generate at most.
-    :param names_tokens: whether the caller says how many tokens it uses.
+    :param states_tokens: whether the caller says how many tokens it uses.
     :param resume_after: id of the last event the caller already has.
     """
 
@@ -27,7 +27,7 @@
     prompt: PromptChain = PromptChain()
     prompt_tokens: int = 0
     max_output_tokens: int = 0
-    names_tokens: bool = False
+    states_tokens: bool = False
     resume_after: str = ""
 
     @property
@@ -65,12 +65,12 @@
 
 
 @attrs.frozen
-class AnswerTraits:
+class ResponseTraits:
     """What the head of an upstream's answer says.
 
     :param is_not_run: the upstream promises that it did not run the request:
         it refused it, or another upstream or other weights answer there.
-    :param answering_id: the upstream that answers there, if it says that it is
+    :param responding_id: the upstream that answers there, if it says that it is
         not the one expected.
     :param weights_version: the weights that answered, if named.
     :param keep_alive_s: how long the idle connection will stay open, if named.
@@ -81,4 +81,4 @@
     weights_version: int | None
     keep_alive_s: float | None
     is_signed: bool
-    answering_id: str = ""
+    responding_id: str = ""
--- a/src/kumquatseam/gateway/_dialect.py
+++ b/src/kumquatseam/gateway/_dialect.py
@@ -5,7 +5,7 @@
 import attrs
 
 from kumquatseam.errors import KumquatseamError
-from kumquatseam.gateway._call import AnswerTraits, Call, SendOptions
+from kumquatseam.gateway._call import Call, ResponseTraits, SendOptions
 from kumquatseam.http1 import Request, ResponseHead
 
 
@@ -47,5 +47,5 @@
         """
 
     @abc.abstractmethod
-    def read_answer(self, head: ResponseHead) -> AnswerTraits:
+    def read_response(self, head: ResponseHead) -> ResponseTraits:
         """Return what an answer's head says."""
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -8,7 +8,7 @@
 
 from kumquatseam.errors import OverloadedError
 from kumquatseam.gateway._begin_wait import BeginWait
-from kumquatseam.gateway._call import AnswerTraits, SendOptions
+from kumquatseam.gateway._call import ResponseTraits, SendOptions
 from kumquatseam.gateway._caller import CallerConnection
 from kumquatseam.gateway._events import EventSplitter
 from kumquatseam.gateway._job import Job
@@ -413,10 +413,10 @@
             job.call.request_id,
             dialect.request_id_header,
             wait,
-            lambda head: dialect.read_answer(head).is_not_run,
+            lambda head: dialect.read_response(head).is_not_run,
         )
         in_flight_request.note_answering()
-        traits = dialect.read_answer(head)
+        traits = dialect.read_response(head)
         self._learn(placement, head, traits)
         wait.until_s = self._body_until_s()
         if head.status != 200:
@@ -476,7 +476,7 @@
         return until_s
 
     def _learn(
-        self, placement: Placement, head: ResponseHead, traits: AnswerTraits
+        self, placement: Placement, head: ResponseHead, traits: ResponseTraits
     ) -> None:
         status, model = placement.status, self._job.call.model
         if model and traits.weights_version is not None:
@@ -488,22 +488,22 @@
                 status=head.status,
                 version=traits.weights_version,
             ).info("Refused by the upstream.")
-            if traits.answering_id not in ("", status.upstream.upstream_id):
-                self._parts.directory.note_address_reused(status, traits.answering_id)
+            if traits.responding_id not in ("", status.upstream.upstream_id):
+                self._parts.directory.note_address_reused(status, traits.responding_id)
             else:
                 self._parts.directory.block(status, REFUSED_BLOCK_S)
             return
         self._parts.directory.note_answer(status, head.status >= 500)
 
     def _drain(
-        self, connection: UpstreamConnection, wait: Wait, traits: AnswerTraits
+        self, connection: UpstreamConnection, wait: Wait, traits: ResponseTraits
     ) -> None:
         """Read a refusal's body so that the connection can be kept."""
         while connection.read_body(wait):
             pass
         self._keep(connection, traits)
 
-    def _keep(self, connection: UpstreamConnection, traits: AnswerTraits) -> None:
+    def _keep(self, connection: UpstreamConnection, traits: ResponseTraits) -> None:
         self._has_kept_connection = True
         self._parts.pool.give_back(connection, traits.keep_alive_s)
 
@@ -513,7 +513,7 @@
         self,
         connection: UpstreamConnection,
         head: ResponseHead,
-        traits: AnswerTraits,
+        traits: ResponseTraits,
         wait: Wait,
     ) -> tuple[bool, str]:
         body = bytearray()
@@ -544,7 +544,7 @@
         self,
         connection: UpstreamConnection,
         head: ResponseHead,
-        traits: AnswerTraits,
+        traits: ResponseTraits,
         wait: Wait,
         first: bytes,
     ) -> tuple[bool, str]:
@@ -623,7 +623,7 @@
     def _answer_fields(
         self, head: ResponseHead, keep: bool
     ) -> list[tuple[bytes, bytes]]:
-        fields = head.headers.end_to_end(frozenset())
+        fields = head.headers.forwardable_fields(frozenset())
         if not keep:
             fields.append((b"Connection", b"close"))
         return fields
--- a/src/kumquatseam/gateway/_handler.py
+++ b/src/kumquatseam/gateway/_handler.py
@@ -151,7 +151,7 @@
         if job.team is None or job.team.quota is None:
             return None
         call = job.call
-        tokens = call.tokens if call.names_tokens else None
+        tokens = call.tokens if call.states_tokens else None
         try:
             return self._parts.quotas.acquire(
                 job.team, tokens, job.table.version, call.request_id
--- a/src/kumquatseam/gateway/_outcomes.py
+++ b/src/kumquatseam/gateway/_outcomes.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from kumquatseam.gateway._call import AnswerTraits
+from kumquatseam.gateway._call import ResponseTraits
 from kumquatseam.http1 import ResponseHead, UpstreamConnection
 from kumquatseam.placement import Placement
 from kumquatseam.upstreams import InFlightRequest
@@ -54,7 +54,7 @@
 
     placement: Placement
     connection: UpstreamConnection
-    traits: AnswerTraits
+    traits: ResponseTraits
     in_flight_request: InFlightRequest
 
 
--- a/src/kumquatseam/http1/_messages.py
+++ b/src/kumquatseam/http1/_messages.py
@@ -59,7 +59,9 @@
         """Return the first value of ``name`` as text; ``""`` without one."""
         return self._values.get(name, b"").decode("latin-1").strip()
 
-    def end_to_end(self, dropped: frozenset[bytes]) -> list[tuple[bytes, bytes]]:
+    def forwardable_fields(
+        self, dropped: frozenset[bytes]
+    ) -> list[tuple[bytes, bytes]]:
         """Return the fields that may be passed on.
 
         :param dropped: further lower-case names to leave out.
--- a/src/kumquatseam/platform/_headers.py
+++ b/src/kumquatseam/platform/_headers.py
@@ -1,10 +1,10 @@
 """Header names of the platform's requests and answers."""
 
 from kumquatseam.gateway import (
-    AnswerTraits,
     Call,
     Dialect,
     MalformedCallError,
+    ResponseTraits,
     SendOptions,
 )
 from kumquatseam.http1 import Headers, Request, ResponseHead
@@ -57,14 +57,14 @@
             prompt=_prompt(headers),
             prompt_tokens=prompt_tokens,
             max_output_tokens=max_output_tokens,
-            names_tokens=usage is not None,
+            states_tokens=usage is not None,
             resume_after=headers.text(b"last-event-id"),
         )
 
     def upstream_fields(
         self, request: Request, options: SendOptions
     ) -> list[tuple[bytes, bytes]]:
-        fields = request.headers.end_to_end(_NOT_PASSED_ON)
+        fields = request.headers.forwardable_fields(_NOT_PASSED_ON)
         remaining_ms = max(1, int(options.remaining_s * 1000))
         fields.append((b"X-Deadline-Ms", b"%d" % remaining_ms))
         optional = (
@@ -83,15 +83,15 @@
                 fields.append((name, str(value).encode("latin-1")))
         return fields
 
-    def read_answer(self, head: ResponseHead) -> AnswerTraits:
+    def read_response(self, head: ResponseHead) -> ResponseTraits:
         headers = head.headers
         is_refused = headers.get(b"x-not-executed") is not None
-        return AnswerTraits(
+        return ResponseTraits(
             is_not_run=is_refused or head.status == 421,
             weights_version=_whole_number(headers.text(_VERSION)),
             keep_alive_s=_keep_alive_s(headers),
             is_signed=headers.get(b"x-replica-signature") is not None,
-            answering_id=headers.text(b"x-replica-id") if head.status == 421 else "",
+            responding_id=headers.text(b"x-replica-id") if head.status == 421 else "",
         )
 
 
