--- a/src/kumquatseam/gateway/_outcomes.py
+++ b/src/kumquatseam/gateway/_outcomes.py
@@ -51,7 +51,7 @@
     :param placement: the upstream it runs on.
     :param connection: the connection it is read from.
     :param traits: data of its head.
-    :param occupancy: the request as counted on the upstream.
+    :param in_flight_request: the request as counted on the upstream.
     """
 
     placement: Placement
