--- a/features/steps/feeds_steps.py
+++ b/features/steps/feeds_steps.py
@@ -44,7 +44,7 @@
     def __init__(self):
         self.values = {}
 
-    def take(self, key, value, learning):
+    def take(self, key, value, change_context):
         self.values[key] = value
         return not value.endswith(b".")
 
@@ -301,7 +301,7 @@
 
 def _copy(next_offset):
     copy = TopicCopy(Values())
-    copy.apply(KeyedBatch(0, next_offset, (_change(0),), is_whole=True))
+    copy.apply(KeyedBatch(0, next_offset, (_change(0),), is_snapshot=True))
     return copy
 
 
@@ -341,7 +341,7 @@
     log = [KeyedChange(0, "a", b"0")]
     copies = [TopicCopy(Values()) for _ in range(3)]
     for copy in copies:
-        copy.apply(KeyedBatch(0, 1, tuple(log), is_whole=True))
+        copy.apply(KeyedBatch(0, 1, tuple(log), is_snapshot=True))
     in_flight = []
     for _ in range(60):
         if draw.random() < 0.5:
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -10,13 +10,13 @@
 from log_capture import captured_lines
 from modelled_clock import Clock
 
-from kumquatseam.logservice import Learning
+from kumquatseam.logservice import ChangeContext
 from kumquatseam.platform._entries import decode_upstream
 from kumquatseam.platform._topics import UpstreamListener
 from kumquatseam.platform._values import DecodingError
 from kumquatseam.upstreams import UpstreamDirectory
 
-LEARNING = Learning(is_history=False, outage_age_s=None)
+LEARNING = ChangeContext(is_initial=False, outage_age_s=None)
 FUZZ = fuzz_settings(derandomize=True, deadline=None, max_examples=500, database=None)
 SOUND = {
     "service": "engines",
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -276,7 +276,7 @@
     def __init__(self):
         self.values = {}
 
-    def take(self, key, value, learning):
+    def take(self, key, value, change_context):
         self.values[key] = value
         return True
 
@@ -290,7 +290,7 @@
         instance.feeds = TopicFeeds(None, instance.bus, instance.bus.record, queries)
         instance.topic = TopicRecorder()
         watch = instance.feeds.follow("keyed.t", instance.topic, pace)
-        watch.copy.apply(KeyedBatch(0, 5, is_whole=True))
+        watch.copy.apply(KeyedBatch(0, 5, is_snapshot=True))
 
 
 @when("a coordinator that does not lead publishes what it read from the log")
--- a/features/steps/weights_begun_late_steps.py
+++ b/features/steps/weights_begun_late_steps.py
@@ -139,7 +139,9 @@
     )
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
-    context.watch.copy.apply(KeyedBatch(0, 5, (_weights_change(4, 1),), is_whole=True))
+    context.watch.copy.apply(
+        KeyedBatch(0, 5, (_weights_change(4, 1),), is_snapshot=True)
+    )
     # Weights 1 were named long ago.
     for _ in range(50):
         clock.sleep(RUNNING_INTERVAL_S)
@@ -173,7 +175,7 @@
 def step_read_whole(context, version):
     offset = context.watch.copy.next_offset
     batch = KeyedBatch(
-        0, offset + 1, (_weights_change(offset, version),), is_whole=True
+        0, offset + 1, (_weights_change(offset, version),), is_snapshot=True
     )
     context.watch.copy.apply(batch)
 
@@ -197,7 +199,7 @@
 def step_copy_now(context):
     listener = OperatorListener(LiveRouteTable(), WeightsTargets())
     context.copy = TopicCopy(listener)
-    context.copy.apply(KeyedBatch(0, 5, is_whole=True))
+    context.copy.apply(KeyedBatch(0, 5, is_snapshot=True))
 
 
 @given("an instance that reads the operators' topic, by this machine's own clocks")
@@ -207,7 +209,7 @@
     context.feeds = TopicFeeds(None, IsolatedBus(), None, NoQuestions())
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
-    context.watch.copy.apply(KeyedBatch(0, 5, is_whole=True))
+    context.watch.copy.apply(KeyedBatch(0, 5, is_snapshot=True))
     context.feeds.process_pauses.note_running()
 
 
--- a/src/kumquatseam/feeds/_copy.py
+++ b/src/kumquatseam/feeds/_copy.py
@@ -4,10 +4,10 @@
 
 from kumquatseam.clocks import elapsed_s
 from kumquatseam.logservice import (
+    ChangeContext,
     KeyedBatch,
     KeyedChange,
     KeyedListener,
-    Learning,
     era_of,
 )
 
@@ -46,11 +46,11 @@
         if self.next_offset is None:
             return None
         changes = (KeyedChange(0, key, value) for key, value in self._values.items())
-        return KeyedBatch(0, self.next_offset, tuple(changes), is_whole=True)
+        return KeyedBatch(0, self.next_offset, tuple(changes), is_snapshot=True)
 
     def can_apply(self, batch: KeyedBatch) -> bool:
         """Return whether no record is missing between this copy and ``batch``."""
-        if batch.is_whole:
+        if batch.is_snapshot:
             return True
         if self.next_offset is None:
             return False
@@ -81,10 +81,12 @@
             # As after an outage: owners that still run write lost entries again.
             outage_age_s = 0.0
         # With an earlier copy, its age bounds how long ago a value was written.
-        is_history = batch.is_whole and self.synced_s is None
-        learning = Learning(is_history, outage_age_s, is_restored, max(unseen_s, age_s))
+        is_initial = batch.is_snapshot and self.synced_s is None
+        change_context = ChangeContext(
+            is_initial, outage_age_s, is_restored, max(unseen_s, age_s)
+        )
         changes = self._missing(batch)
-        effective = tuple(c for c in changes if self._store(c, learning))
+        effective = tuple(c for c in changes if self._store(c, change_context))
         self.next_offset = batch.next_offset
         synced_s = self._clock() - age_s
         self.synced_s = (
@@ -95,7 +97,7 @@
 
     def _missing(self, batch: KeyedBatch) -> list[KeyedChange]:
         """Return the changes that this copy does not contain yet."""
-        if not batch.is_whole:
+        if not batch.is_snapshot:
             return [c for c in batch.changes if c.offset >= self.next_offset]
         kept = {change.key for change in batch.changes}
         dropped = [key for key in self._values if key not in kept]
@@ -108,9 +110,13 @@
         known = self.next_offset
         return known is not None and era_of(batch.next_offset) > era_of(known)
 
-    def _store(self, change: KeyedChange, learning: Learning) -> bool:
-        is_effective = self._listener.take(change.key, change.value, learning)
-        if learning.is_restored and not is_effective and change.key in self._values:
+    def _store(self, change: KeyedChange, change_context: ChangeContext) -> bool:
+        is_effective = self._listener.apply(change.key, change.value, change_context)
+        if (
+            change_context.is_restored
+            and not is_effective
+            and change.key in self._values
+        ):
             # Snapshots for peers keep the known value; its owner writes it again.
             return False
         if change.value:
--- a/src/kumquatseam/logservice/__init__.py
+++ b/src/kumquatseam/logservice/__init__.py
@@ -22,7 +22,7 @@
     unframe_records,
 )
 from kumquatseam.logservice._http import HttpLogService
-from kumquatseam.logservice._keyed_listener import KeyedListener, Learning
+from kumquatseam.logservice._keyed_listener import ChangeContext, KeyedListener
 from kumquatseam.logservice._keyed_reader import (
     KeyedBatch,
     KeyedChange,
@@ -47,7 +47,7 @@
     "KeyedPage",
     "KeyedReader",
     "KeyedRecord",
-    "Learning",
+    "ChangeContext",
     "LogAnswerLostError",
     "LogConflictError",
     "LogRecord",
--- a/src/kumquatseam/logservice/_keyed_listener.py
+++ b/src/kumquatseam/logservice/_keyed_listener.py
@@ -6,10 +6,10 @@
 
 
 @attrs.frozen
-class Learning:
+class ChangeContext:
     """How a value was learnt.
 
-    :param is_history: it was written at an unknown time before; otherwise it is
+    :param is_initial: it was written at an unknown time before; otherwise it is
         new.
     :param outage_age_s: how long ago the log was last out of reach; ``None`` if
         not lately.
@@ -19,7 +19,7 @@
         learnt: this instance stood still, or nobody read the log.
     """
 
-    is_history: bool = False
+    is_initial: bool = False
     outage_age_s: float | None = None
     is_restored: bool = False
     unseen_s: float = 0.0
@@ -29,7 +29,7 @@
     """Takes in what a keyed topic holds."""
 
     @abc.abstractmethod
-    def take(self, key: str, value: bytes, learning: Learning) -> bool:
+    def apply(self, key: str, value: bytes, change_context: ChangeContext) -> bool:
         """Take in a new value; empty when the key was dropped.
 
         :returns: whether it changed anything; what did not is not passed on to
--- a/src/kumquatseam/logservice/_keyed_reader.py
+++ b/src/kumquatseam/logservice/_keyed_reader.py
@@ -32,14 +32,14 @@
     :param from_offset: the first offset it covers.
     :param next_offset: where to go on reading.
     :param changes: in order of their offsets.
-    :param is_whole: the changes are everything the topic holds, and a key that
+    :param is_snapshot: the changes are everything the topic holds, and a key that
         is not among them was dropped.
     """
 
     from_offset: int
     next_offset: int
     changes: tuple[KeyedChange, ...] = ()
-    is_whole: bool = False
+    is_snapshot: bool = False
 
 
 class KeyedReader:
@@ -87,7 +87,7 @@
             for record in page.records
             if record.value
         )
-        return KeyedBatch(0, page.end_offset, changes, is_whole=True)
+        return KeyedBatch(0, page.end_offset, changes, is_snapshot=True)
 
     def _change(self, offset: int, payload: bytes) -> KeyedChange | None:
         try:
--- a/src/kumquatseam/peers/_registry.py
+++ b/src/kumquatseam/peers/_registry.py
@@ -5,8 +5,8 @@
 from kumquatseam.errors import CodecError
 from kumquatseam.logs import part_logger
 from kumquatseam.logservice import (
+    ChangeContext,
     KeyedListener,
-    Learning,
     LogService,
     LogServiceError,
 )
@@ -45,9 +45,9 @@
         """Stop registering; the record stays valid for a restart at this address."""
         self._registering.kill()
 
-    def take(self, key: str, value: bytes, learning: Learning) -> bool:
+    def apply(self, key: str, value: bytes, change_context: ChangeContext) -> bool:
         if not value:
-            return self._apply_removal(key, learning)
+            return self._apply_removal(key, change_context)
         try:
             record = RECORD_CODEC.decode(value)
         except CodecError as error:
@@ -56,11 +56,11 @@
         self._bus.add(record)
         return True
 
-    def _apply_removal(self, key: str, learning: Learning) -> bool:
+    def _apply_removal(self, key: str, change_context: ChangeContext) -> bool:
         if key == self._record.name:
             self._register_again()
             return False
-        if learning.is_restored:
+        if change_context.is_restored:
             # The log was restored from an older copy without the record; the instance
             # is still up and registers again.
             return False
--- a/src/kumquatseam/platform/_topics.py
+++ b/src/kumquatseam/platform/_topics.py
@@ -1,7 +1,7 @@
 """What the operators and the upstreams write to the platform's store."""
 
 from kumquatseam.logs import part_logger
-from kumquatseam.logservice import KeyedListener, Learning
+from kumquatseam.logservice import ChangeContext, KeyedListener
 from kumquatseam.platform._entries import decode_upstream
 from kumquatseam.platform._records import decode_route_table, decode_weights
 from kumquatseam.platform._values import DecodingError
@@ -36,25 +36,27 @@
         self._live = live
         self._targets = targets
 
-    def take(self, key: str, value: bytes, learning: Learning) -> bool:
+    def take(self, key: str, value: bytes, change_context: ChangeContext) -> bool:
         if not value:
             return False
         try:
             if key == _CONFIGURATION_KEY:
                 is_newer = self._live.apply(decode_route_table(value), "store")
                 # After a return from a copy an older one is no news to anyone.
-                return is_newer or not learning.is_restored
+                return is_newer or not change_context.is_restored
             elif key.startswith(_WEIGHTS_PREFIX):
-                self._take_weights(decode_weights(value), learning)
+                self._take_weights(decode_weights(value), change_context)
         except DecodingError as error:
             _log.bind(key=key, error=str(error)).error("Record ignored.")
         return True
 
-    def _take_weights(self, named: WeightsVersion, learning: Learning) -> None:
-        if learning.is_history:
+    def _take_weights(
+        self, named: WeightsVersion, change_context: ChangeContext
+    ) -> None:
+        if change_context.is_initial:
             self._targets.add_with_unknown_age(named)
         else:
-            self._targets.add_new(named, learning.unseen_s)
+            self._targets.add_new(named, change_context.unseen_s)
 
 
 class UpstreamListener(KeyedListener):
@@ -67,10 +69,10 @@
         self._directory = directory
         self._unreadable: set[str] = set()
 
-    def take(self, key: str, value: bytes, learning: Learning) -> bool:
+    def take(self, key: str, value: bytes, change_context: ChangeContext) -> bool:
         if not value:
             self._unreadable.discard(key)
-            return self._directory.remove(key, learning.outage_age_s)
+            return self._directory.remove(key, change_context.outage_age_s)
         try:
             upstream = decode_upstream(key, value)
         except DecodingError as error:
--- a/src/kumquatseam/quarantine/_list.py
+++ b/src/kumquatseam/quarantine/_list.py
@@ -8,7 +8,7 @@
 
 from kumquatseam.errors import CodecError
 from kumquatseam.logs import part_logger
-from kumquatseam.logservice import KeyedListener, Learning
+from kumquatseam.logservice import ChangeContext, KeyedListener
 from kumquatseam.quarantine._crashes import Crashes
 from kumquatseam.quarantine._messages import RECORD_CODEC
 from kumquatseam.quarantine._policy import (
@@ -57,11 +57,11 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def take(self, key: str, value: bytes, learning: Learning) -> bool:
+    def apply(self, key: str, value: bytes, change_context: ChangeContext) -> bool:
         self._written.pop(key, None)
         if not value:
             # A record missing from a restored log is kept here and written again.
-            return not learning.is_restored and self.drop(key)
+            return not change_context.is_restored and self.drop(key)
         try:
             record = RECORD_CODEC.decode(value)
         except CodecError as error:
