--- a/features/foreign_entries.feature
+++ b/features/foreign_entries.feature
@@ -1,11 +1,12 @@
-Feature: Entries that other writers leave in the list of upstreams
-  They name no upstream to use. The others hold, and one that turns sound again
-  is taken back.
+Feature: Invalid entries in the list of upstreams
+  Any writer can add entries to the topic. An invalid entry must not be used as an
+  upstream, make the decoder fail or hide the valid entries; once it is valid it is
+  used.
 
-  Scenario Outline: An entry that does not hold names no upstream
-    Given an upstream listed beside an entry with <fault>
-    Then only the sound one takes work
-    And one log line names the key and the field "<field>"
+  Scenario Outline: An entry with an invalid field is not used
+    Given a valid upstream entry and an entry with <fault>
+    Then only the valid entry gets requests
+    And one log line states the key and the field "<field>"
 
     Examples:
       | fault                     | field      |
@@ -42,9 +43,9 @@
       | half an object            | JSONDecode |
       | a list instead            | list       |
 
-  Scenario Outline: A key that cannot be an id names no upstream
-    Given an upstream listed beside a sound entry under the key <key>
-    Then only the sound one takes work
+  Scenario Outline: An entry whose key is no valid id is not used
+    Given a valid upstream entry and another one under the key <key>
+    Then only the valid entry gets requests
 
     Examples:
       | key                 |
@@ -53,31 +54,31 @@
       | that is empty       |
       | that is too long    |
 
-  Scenario: Rubbish that is rewritten again and again is logged once
-    Given an upstream listed beside an entry with no state
+  Scenario: An invalid entry that is rewritten repeatedly is logged once
+    Given a valid upstream entry and an entry with no state
     When that entry is rewritten 50 times
-    Then one log line names the key and the field "state"
+    Then one log line states the key and the field "state"
 
-  Scenario: An entry that turns sound is taken
-    Given an upstream listed beside an entry with no state
-    When that entry turns sound
-    Then both take work
+  Scenario: An entry that becomes valid is used
+    Given a valid upstream entry and an entry with no state
+    When that entry becomes valid
+    Then both upstreams get requests
 
-  Scenario: A known upstream whose entry turns unreadable gets no new work
-    Given an upstream whose known entry turns unreadable
-    Then it takes no work, and what is known of it is kept
-    When its next heartbeat writes a sound entry
-    Then it takes work, and what is known of it is kept
+  Scenario: A known upstream whose entry becomes unreadable gets no new requests
+    Given a known upstream whose entry becomes unreadable
+    Then it gets no requests, and its recorded state is kept
+    When its next heartbeat writes a valid entry
+    Then it gets requests, and its recorded state is kept
 
-  Scenario: A known upstream whose entry stays unreadable is forgotten
-    Given an upstream whose known entry turns unreadable
-    When 4 seconds go by without a sound entry
-    Then it is forgotten
+  Scenario: A known upstream whose entry stays unreadable is removed
+    Given a known upstream whose entry becomes unreadable
+    When 4 seconds pass without a valid entry
+    Then it is removed from the directory
 
-  Scenario: A list full of rubbish costs no instance its list
-    Given 2000 entries of rubbish and 5 sound ones
-    Then the 5 sound ones take work
+  Scenario: Many invalid entries do not hide the valid ones
+    Given 2000 invalid entries and 5 valid ones
+    Then the 5 valid ones get requests
     And at most 2000 log lines were written
 
-  Scenario: No entry makes the decoder fail in another way
-    Then no changed entry is taken that breaks a field's type or range
+  Scenario: The decoder rejects every invalid entry with its own error
+    Then no mutated entry with an invalid type or range is accepted
--- a/features/steps/feeds_steps.py
+++ b/features/steps/feeds_steps.py
@@ -44,7 +44,7 @@
     def __init__(self):
         self.values = {}
 
-    def take(self, key, value, change_context):
+    def apply(self, key, value, change_context):
         self.values[key] = value
         return not value.endswith(b".")
 
--- a/features/steps/foreign_entries_steps.py
+++ b/features/steps/foreign_entries_steps.py
@@ -1,4 +1,4 @@
-"""Steps for entries that other writers leave in the list of upstreams."""
+"""Steps for invalid entries in the list of upstreams."""
 
 import copy
 import json
@@ -16,9 +16,9 @@
 from kumquatseam.platform._values import DecodingError
 from kumquatseam.upstreams import UpstreamDirectory
 
-LEARNING = ChangeContext(is_initial=False, outage_age_s=None)
+CHANGE_CONTEXT = ChangeContext(is_initial=False, outage_age_s=None)
 FUZZ = fuzz_settings(derandomize=True, deadline=None, max_examples=500, database=None)
-SOUND = {
+VALID_ENTRY = {
     "service": "engines",
     "address": "10.1.0.1:8080",
     "zone": "z",
@@ -30,7 +30,7 @@
     "born": 1_700_000_000_000,
     "models": [{"name": "m0", "version": 3, "adapters": []}],
 }
-#: by the name of a fault: the field, and its value; ``...`` drops it.
+#: field and value by fault; ``...`` removes the field.
 FIELD_FAULTS = {
     "no service": ("service", ...),
     "a service of type int": ("service", 7),
@@ -75,8 +75,8 @@
 }
 
 
-def entry(**more) -> bytes:
-    fields = {**copy.deepcopy(SOUND), **more}
+def entry(**changes) -> bytes:
+    fields = {**copy.deepcopy(VALID_ENTRY), **changes}
     kept = {name: value for name, value in fields.items() if value is not ...}
     return json.dumps(kept).encode()
 
@@ -94,13 +94,13 @@
     context.listener = UpstreamListener(context.directory)
 
 
-def _take(context, key, value):
+def _apply(context, key, value):
     with captured_lines() as lines:
-        context.listener.take(key, value, LEARNING)
+        context.listener.apply(key, value, CHANGE_CONTEXT)
     context.lines = [*getattr(context, "lines", []), *lines]
 
 
-def _open_ids(context):
+def _usable_ids(context):
     return [
         status.upstream.upstream_id
         for status in context.directory.of_service("engines")
@@ -108,33 +108,33 @@
     ]
 
 
-def _ignored(context):
+def _ignored_lines(context):
     return [r for r in context.lines if r["message"] == "Entry ignored."]
 
 
-@given("an upstream listed beside an entry with {fault}")
+@given("a valid upstream entry and an entry with {fault}")
 def step_beside(context, fault):
     _build(context)
-    _take(context, "e0", entry())
-    _take(context, "e1", faulty_entry(fault))
+    _apply(context, "e0", entry())
+    _apply(context, "e1", faulty_entry(fault))
     context.fault = fault
 
 
-@given("an upstream listed beside a sound entry under the key {key}")
+@given("a valid upstream entry and another one under the key {key}")
 def step_beside_key(context, key):
     _build(context)
-    _take(context, "e0", entry())
-    _take(context, KEYS[key], entry())
+    _apply(context, "e0", entry())
+    _apply(context, KEYS[key], entry())
 
 
-@then("only the sound one takes work")
-def step_only_sound(context):
-    assert _open_ids(context) == ["e0"], _open_ids(context)
+@then("only the valid entry gets requests")
+def step_only_valid(context):
+    assert _usable_ids(context) == ["e0"], _usable_ids(context)
 
 
-@then('one log line names the key and the field "{field}"')
+@then('one log line states the key and the field "{field}"')
 def step_one_line(context, field):
-    (line,) = _ignored(context)
+    (line,) = _ignored_lines(context)
     assert line["extra"]["upstream"] == "e1", line["extra"]
     assert field in line["extra"]["error"], line["extra"]["error"]
 
@@ -142,65 +142,65 @@
 @when("that entry is rewritten {count:d} times")
 def step_rewritten(context, count):
     for _ in range(count):
-        _take(context, "e1", faulty_entry(context.fault))
+        _apply(context, "e1", faulty_entry(context.fault))
 
 
-@when("that entry turns sound")
-def step_turns_sound(context):
-    _take(context, "e1", entry())
+@when("that entry becomes valid")
+def step_becomes_valid(context):
+    _apply(context, "e1", entry())
 
 
-@then("both take work")
+@then("both upstreams get requests")
 def step_both(context):
-    assert _open_ids(context) == ["e0", "e1"], _open_ids(context)
+    assert _usable_ids(context) == ["e0", "e1"], _usable_ids(context)
 
 
-@given("an upstream whose known entry turns unreadable")
+@given("a known upstream whose entry becomes unreadable")
 def step_known_unreadable(context):
     _build(context)
-    _take(context, "e0", entry())
+    _apply(context, "e0", entry())
     context.status = context.directory.of_service("engines")[0]
     context.status.failures_in_row = 2
-    _take(context, "e0", faulty_entry("no slots"))
+    _apply(context, "e0", faulty_entry("no slots"))
 
 
-@then("it takes no work, and what is known of it is kept")
-def step_closed_kept(context):
-    assert _open_ids(context) == []
+@then("it gets no requests, and its recorded state is kept")
+def step_unused_kept(context):
+    assert _usable_ids(context) == []
     assert context.directory.of_service("engines") == [context.status]
     assert context.status.failures_in_row == 2
 
 
-@when("its next heartbeat writes a sound entry")
+@when("its next heartbeat writes a valid entry")
 def step_next_heartbeat(context):
     context.clock.now_s += 1.2
     context.directory.sweep()
-    _take(context, "e0", entry(sequence=5))
+    _apply(context, "e0", entry(sequence=5))
     context.clock.now_s += 10
     context.directory.sweep()
 
 
-@then("it takes work, and what is known of it is kept")
-def step_open_kept(context):
-    assert _open_ids(context) == ["e0"]
+@then("it gets requests, and its recorded state is kept")
+def step_used_kept(context):
+    assert _usable_ids(context) == ["e0"]
     assert context.directory.of_service("engines") == [context.status]
 
 
-@when("{seconds:d} seconds go by without a sound entry")
-def step_no_sound(context, seconds):
+@when("{seconds:d} seconds pass without a valid entry")
+def step_no_valid(context, seconds):
     for _ in range(seconds):
         context.clock.now_s += 1
-        _take(context, "e0", faulty_entry("no slots"))
+        _apply(context, "e0", faulty_entry("no slots"))
         context.directory.sweep()
 
 
-@then("it is forgotten")
-def step_forgotten(context):
+@then("it is removed from the directory")
+def step_removed(context):
     assert context.directory.of_service("engines") == []
 
 
-@given("{count:d} entries of rubbish and {sound:d} sound ones")
-def step_rubbish(context, count, sound):
+@given("{count:d} invalid entries and {valid:d} valid ones")
+def step_invalid_entries(context, count, valid):
     _build(context)
     context.lines = []
     faults = [*FIELD_FAULTS, *RAW_FAULTS]
@@ -208,14 +208,14 @@
         for _ in range(2):
             for number in range(count):
                 value = faulty_entry(faults[number % len(faults)])
-                context.listener.take(f"r{number}", value, LEARNING)
-        for number in range(sound):
-            context.listener.take(f"e{number}", entry(), LEARNING)
+                context.listener.apply(f"r{number}", value, CHANGE_CONTEXT)
+        for number in range(valid):
+            context.listener.apply(f"e{number}", entry(), CHANGE_CONTEXT)
 
 
-@then("the {count:d} sound ones take work")
-def step_sound_work(context, count):
-    assert _open_ids(context) == [f"e{n}" for n in range(count)]
+@then("the {count:d} valid ones get requests")
+def step_valid_used(context, count):
+    assert _usable_ids(context) == [f"e{n}" for n in range(count)]
 
 
 @then("at most {count:d} log lines were written")
@@ -223,7 +223,7 @@
     assert len(context.lines) <= count, len(context.lines)
 
 
-@then("no changed entry is taken that breaks a field's type or range")
+@then("no mutated entry with an invalid type or range is accepted")
 def step_fuzz_entries(context):
     values = st.one_of(
         st.none(),
@@ -234,12 +234,12 @@
         st.lists(st.integers(), max_size=2),
         st.dictionaries(st.sampled_from(["name", "version"]), st.integers()),
     )
-    changes = st.dictionaries(st.sampled_from(sorted(SOUND)), values, max_size=4)
+    changes = st.dictionaries(st.sampled_from(sorted(VALID_ENTRY)), values, max_size=4)
 
     @FUZZ
-    @for_all(changes, st.lists(st.sampled_from(sorted(SOUND)), max_size=2))
+    @for_all(changes, st.lists(st.sampled_from(sorted(VALID_ENTRY)), max_size=2))
     def check(changed, dropped):
-        fields = {**SOUND, **changed}
+        fields = {**VALID_ENTRY, **changed}
         for name in dropped:
             fields.pop(name, None)
         try:
--- a/features/steps/log_capture.py
+++ b/features/steps/log_capture.py
@@ -1,4 +1,4 @@
-"""Capturing the log lines that parts called in this process write."""
+"""Capturing the log lines of code that runs in this process."""
 
 import contextlib
 
@@ -7,7 +7,7 @@
 
 @contextlib.contextmanager
 def captured_lines():
-    """Yield a list that gets each line's record while the block runs."""
+    """Yield a list to which each log record is appended while the block runs."""
     lines = []
     sink = logger.add(lambda message: lines.append(message.record), level="DEBUG")
     try:
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -276,7 +276,7 @@
     def __init__(self):
         self.values = {}
 
-    def take(self, key, value, change_context):
+    def apply(self, key, value, change_context):
         self.values[key] = value
         return True
 
--- a/src/kumquatseam/logservice/__init__.py
+++ b/src/kumquatseam/logservice/__init__.py
@@ -1,9 +1,9 @@
-"""The platform's append-only log service, as the router uses it.
+"""Client of the platform's append-only log service.
 
 - :class:`LogService` is the interface: append, read, newest record per key.
-- :class:`HttpLogService` speaks the platform's published HTTP protocol.
-- :func:`append_once` makes a conditional append exactly-once although the
-  answer to it may be lost.
+- :class:`HttpLogService` implements it over the platform's HTTP protocol.
+- :func:`append_once` makes a conditional append exactly-once even if the response
+  to it is lost.
 """
 
 from kumquatseam.logservice._append_once import append_once
@@ -40,6 +40,7 @@
 
 __all__ = [
     "KEYED_PREFIX",
+    "ChangeContext",
     "HttpLogService",
     "KeyedBatch",
     "KeyedChange",
@@ -47,7 +48,6 @@
     "KeyedPage",
     "KeyedReader",
     "KeyedRecord",
-    "ChangeContext",
     "LogAnswerLostError",
     "LogConflictError",
     "LogRecord",
--- a/src/kumquatseam/logservice/_append_once.py
+++ b/src/kumquatseam/logservice/_append_once.py
@@ -1,4 +1,4 @@
-"""Exactly-once conditional append over a log whose answers can be lost."""
+"""Exactly-once conditional append to a log whose responses can be lost."""
 
 from collections.abc import Sequence
 
@@ -12,8 +12,8 @@
 from kumquatseam.logservice._framing import unframe_keyed
 from kumquatseam.logservice._service import KEYED_PREFIX, LogService
 
-ATTEMPTS = 6
-PAUSE_S = 0.2
+MAX_ATTEMPTS = 6
+BACKOFF_STEP_S = 0.2
 
 
 def append_once(
@@ -21,50 +21,53 @@
     topic: str,
     payloads: Sequence[bytes],
     at: int,
-    attempts: int = ATTEMPTS,
+    attempts: int = MAX_ATTEMPTS,
 ) -> int:
     """Append ``payloads`` at offset ``at`` exactly once, all or none.
 
-    The first payload must be unique (carry its own id). When an answer is
-    lost the topic is read back: our own bytes at ``at`` mean it took effect;
-    other bytes mean somebody else won the offset; nothing there means it may
-    yet take effect, and appending again under the same condition is then
-    safe, since only one append can ever land at ``at``.
+    The first payload must be unique (for example contain an id). After a lost
+    response the append is retried under the same condition, which is safe since
+    only one append can succeed at ``at``. If the retry conflicts, the topic is read
+    back: our own payload at ``at`` means that the earlier append took effect, a
+    different one that another writer appended there first; if it cannot be read,
+    the append is retried.
 
     :returns: the offset of the first payload; see :meth:`LogService.append`.
-    :raises LogConflictError: if another record holds offset ``at``; ours are
+    :raises LogConflictError: if another record is at offset ``at``; ours are
         not in the log and never will be.
-    :raises LogUnavailableError: if nothing was done in every attempt.
+    :raises LogUnavailableError: if no attempt had any effect.
     :raises LogAnswerLostError: if the outcome is still unknown.
     """
-    uncertain = False
-    last: LogServiceError | None = None
+    may_be_appended = False
+    last_error: LogServiceError | None = None
     for attempt in range(attempts):
         if attempt:
-            log.pause(PAUSE_S * attempt)
+            log.pause(BACKOFF_STEP_S * attempt)
         try:
             return log.append(topic, payloads, at=at)
         except LogConflictError as conflict:
-            if not uncertain:
+            if not may_be_appended:
                 raise
             outcome = _read_back(log, topic, payloads[0], at)
             if outcome is True:
                 return at
             if outcome is False:
                 raise
-            last = conflict
+            last_error = conflict
         except LogAnswerLostError as error:
-            uncertain = True
-            last = error
+            may_be_appended = True
+            last_error = error
         except LogUnavailableError as error:
-            last = error
-    if uncertain:
-        raise LogAnswerLostError(f"unresolved after {attempts} attempts") from last
-    raise last
+            last_error = error
+    if may_be_appended:
+        raise LogAnswerLostError(
+            f"append unresolved after {attempts} attempts"
+        ) from last_error
+    raise last_error
 
 
 def _read_back(log: LogService, topic: str, payload: bytes, at: int) -> bool | None:
-    """Return whether our record holds offset ``at``; ``None`` if unknown."""
+    """Return whether our record is at offset ``at``; ``None`` if unknown."""
     try:
         found = log.read(topic, at).records
     except LogRecordsExpiredError:
@@ -75,7 +78,7 @@
 
 
 def _is_newest(log: LogService, topic: str, payload: bytes) -> bool | None:
-    """Return whether our record is its key's newest; ``None`` if unknown."""
+    """Return ``True`` if our record is its key's newest, else ``None`` (unknown)."""
     if not topic.startswith(KEYED_PREFIX):
         return None
     try:
--- a/src/kumquatseam/logservice/_errors.py
+++ b/src/kumquatseam/logservice/_errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a call to the log service, by what it promises."""
+"""Errors of log service calls, by whether the call may have taken effect."""
 
 import attrs
 
@@ -6,60 +6,64 @@
 
 
 class LogServiceError(KumquatseamError):
-    """Base class of every failed call to the log service."""
+    """Base class of the errors of log service calls."""
 
 
 @attrs.define(frozen=True, eq=False)
 class LogUnavailableError(LogServiceError):
-    """The log service did nothing: down, throttling, or unreachable.
+    """The call had no effect: the log service is unreachable or rejected it.
 
-    :param detail: what it answered.
+    :param detail: the HTTP status or connection error.
     """
 
     detail: str
 
     def __str__(self) -> str:
-        return f"logservice: unavailable, nothing was done: {self.detail}"
+        return f"logservice: unavailable, the call had no effect: {self.detail}"
 
 
 @attrs.define(frozen=True, eq=False)
 class LogAnswerLostError(LogServiceError):
-    """No answer came: the call may have taken effect, or may do so later.
+    """No usable response: the call may have taken effect, or may do so later.
 
-    :param detail: how the connection ended.
+    :param detail: the connection error, or what is wrong with the response.
     """
 
     detail: str
 
     def __str__(self) -> str:
-        return f"logservice: answer lost, may have been done: {self.detail}"
+        return (
+            f"logservice: response lost, the call may have taken effect: {self.detail}"
+        )
 
 
 @attrs.define(frozen=True, eq=False)
 class LogConflictError(LogServiceError):
-    """A conditional append came too late: the log had already moved on.
+    """A conditional append failed: the topic does not end at the given offset.
 
     :param topic: the topic.
-    :param end_offset: where the topic ends now.
+    :param end_offset: the topic's current end.
     """
 
     topic: str
     end_offset: int
 
     def __str__(self) -> str:
-        return f"logservice: {self.topic} already ends at {self.end_offset}"
+        return f"logservice: append conflict: {self.topic} ends at {self.end_offset}"
 
 
 @attrs.define(frozen=True, eq=False)
 class LogRecordsExpiredError(LogServiceError):
-    """The records asked for are past the log's retention.
+    """The requested records are no longer in the log.
 
     :param topic: the topic.
-    :param first_offset: the oldest offset still kept.
+    :param first_offset: the oldest offset still retained.
     """
 
     topic: str
     first_offset: int
 
     def __str__(self) -> str:
-        return f"logservice: {self.topic} now begins at {self.first_offset}"
+        return (
+            f"logservice: records expired: {self.topic} starts at {self.first_offset}"
+        )
--- a/src/kumquatseam/logservice/_framing.py
+++ b/src/kumquatseam/logservice/_framing.py
@@ -1,8 +1,8 @@
-"""The platform's published record framing: a 4-byte big-endian length each.
+"""The platform's record framing: a 4-byte big-endian length before each record.
 
 In keyed topics a record's content is a 1-byte key length, the key, and the
-value; no value drops the key. A read's body begins with the topic's end and
-first offset, 8 bytes each.
+value; an empty value deletes the key. The body of a read response starts with the
+topic's end and first offset, 8 bytes each.
 """
 
 import struct
@@ -22,34 +22,34 @@
 def unframe_records(data: bytes) -> list[bytes]:
     """Return the payloads in framed ``data``.
 
-    :raises CodecError: if the last record is cut short.
+    :raises CodecError: if the last record is truncated.
     """
     payloads = []
     position = 0
     while position < len(data):
         start = position + _LENGTH.size
         if start > len(data):
-            raise CodecError("log records", "cut inside a length")
+            raise CodecError("log records", "truncated inside a record length")
         (length,) = _LENGTH.unpack_from(data, position)
         position = start + length
         if position > len(data):
-            raise CodecError("log records", "cut inside a record")
+            raise CodecError("log records", "truncated inside a record")
         payloads.append(data[start:position])
     return payloads
 
 
 def frame_slice(end_offset: int, first_offset: int, payloads: Iterable[bytes]) -> bytes:
-    """Return the body of a read's answer."""
+    """Return the body of a read response."""
     return _BOUNDS.pack(end_offset, first_offset) + frame_records(payloads)
 
 
 def unframe_slice(data: bytes) -> tuple[int, int, list[bytes]]:
-    """Return ``(end_offset, first_offset, payloads)`` of a read's answer.
+    """Return ``(end_offset, first_offset, payloads)`` of a read response.
 
-    :raises CodecError: if it is cut short.
+    :raises CodecError: if it is truncated.
     """
     if len(data) < _BOUNDS.size:
-        raise CodecError("log read", "cut inside the offsets")
+        raise CodecError("log read", "truncated inside the offsets")
     end_offset, first_offset = _BOUNDS.unpack_from(data)
     return end_offset, first_offset, unframe_records(data[_BOUNDS.size :])
 
@@ -63,9 +63,9 @@
 def unframe_keyed(content: bytes) -> tuple[str, bytes]:
     """Return ``(key, value)`` of a keyed record's content.
 
-    :raises CodecError: if it is cut short.
+    :raises CodecError: if it is truncated.
     """
     if not content or len(content) < 1 + content[0]:
-        raise CodecError("keyed record", "cut inside the key")
+        raise CodecError("keyed record", "truncated inside the key")
     split = 1 + content[0]
     return content[1:split].decode(), content[split:]
--- a/src/kumquatseam/logservice/_http.py
+++ b/src/kumquatseam/logservice/_http.py
@@ -1,4 +1,4 @@
-"""Client of the platform's log service over its published HTTP protocol."""
+"""Client of the platform's log service over HTTP."""
 
 import base64
 import json
@@ -29,12 +29,13 @@
 )
 from kumquatseam.pools import AddressPools
 
-_CONFLICT = 412
+_PRECONDITION_FAILED = 412
 _GONE = 410
 _OK = 200
-#: names the era of the log service; it rises when it returned from an older copy.
+#: the log service's era; it increases when the service is restored from an older
+#: copy.
 _ERA_HEADER = "Store-Era"
-#: the most a single read may return.
+#: maximum size of one read response.
 MAX_READ_KB = 1024
 
 
@@ -42,7 +43,7 @@
     """The log service at an HTTP address.
 
     :param url: base URL, e.g. ``http://10.200.1.7:8784``.
-    :param timeout_s: timeout of a call, on top of any wait it asks for.
+    :param timeout_s: timeout of a call, in addition to the wait that it requests.
     """
 
     def __init__(self, url: str, timeout_s: float = 2.0) -> None:
@@ -52,7 +53,7 @@
         self.calls = 0
 
     def start(self) -> None:
-        """Connections open as calls need them."""
+        """Do nothing; connections are opened on demand."""
 
     def close(self) -> None:
         """Close every pooled connection."""
@@ -65,8 +66,8 @@
         if at is not None:
             fields["at"] = offset_of(at)
         body = frame_records(payloads)
-        answer = self._call("POST", "/log-append", fields, topic, body=body)
-        return position(_era(answer), _field(answer.data, "offset"))
+        response = self._call("POST", "/log-append", fields, topic, body=body)
+        return position(_era(response), _field(response.data, "offset"))
 
     def append_keyed(
         self, topic: str, key: str, value: bytes, at: int | None = None
@@ -81,16 +82,16 @@
             "maxKb": MAX_READ_KB,
             "waitMs": int(wait_s * 1000),
         }
-        answer = self._call("GET", "/log-read", fields, topic, extra_s=wait_s)
+        response = self._call("GET", "/log-read", fields, topic, extra_s=wait_s)
         try:
-            end_offset, first_offset, payloads = unframe_slice(answer.data)
+            end_offset, first_offset, payloads = unframe_slice(response.data)
         except CodecError as error:
             raise LogAnswerLostError(str(error)) from error
-        era = _era(answer)
+        era = _era(response)
         check_era(topic, from_offset, era, first_offset)
-        begin = position(era, offset_of(from_offset))
+        first = position(era, offset_of(from_offset))
         records = tuple(
-            LogRecord(begin + index, payload) for index, payload in enumerate(payloads)
+            LogRecord(first + index, payload) for index, payload in enumerate(payloads)
         )
         return LogSlice(position(era, first_offset), position(era, end_offset), records)
 
@@ -99,22 +100,22 @@
         end_offset: int | None = None
         fields = {"topic": topic, "part": 0}
         while True:
-            answer = self._call("GET", "/log-newest", fields, topic)
-            era = _era(answer)
+            response = self._call("GET", "/log-newest", fields, topic)
+            era = _era(response)
             if end_offset is not None and era_of(end_offset) != era:
-                # The pages before are of another history.
+                # Restored from an older copy between pages: start over.
                 records, end_offset = [], None
                 del fields["after"]
                 continue
-            for item in _field(answer.data, "items"):
+            for item in _field(response.data, "items"):
                 value = base64.b64decode(item["value"])
                 at = position(era, item["offset"])
                 records.append(KeyedRecord(item["key"], value, at))
-            # Pages are no snapshot: what changes meanwhile lies past the end
-            # of the first page, from where a reader goes on.
+            # The pages are not one snapshot, but changes made between them are
+            # past the end that the first page states, where the reader continues.
             if end_offset is None:
-                end_offset = position(era, _field(answer.data, "end"))
-            if not _field(answer.data, "hasMore"):
+                end_offset = position(era, _field(response.data, "end"))
+            if not _field(response.data, "hasMore"):
                 return KeyedPage(tuple(records), end_offset)
             fields["after"] = records[-1].key
 
@@ -143,7 +144,7 @@
         if response.status == _OK:
             return response
         era = _era(response)
-        if response.status == _CONFLICT:
+        if response.status == _PRECONDITION_FAILED:
             end_offset = position(era, _field(response.data, "end"))
             raise LogConflictError(topic, end_offset)
         if response.status == _GONE:
@@ -153,9 +154,9 @@
 
 
 def _era(response: urllib3.BaseHTTPResponse) -> int:
-    """Return the era that an answer names; 0 if it names none.
+    """Return the era stated in a response; 0 if there is none.
 
-    :raises LogAnswerLostError: if it cannot be read.
+    :raises LogAnswerLostError: if it is not a number.
     """
     text = response.headers.get(_ERA_HEADER, "0")
     if not text.isdecimal():
@@ -163,12 +164,12 @@
     return int(text)
 
 
-def _field(answer: bytes, name: str):
-    """Return a field of a JSON answer.
+def _field(body: bytes, name: str):
+    """Return a field of a JSON response.
 
-    :raises LogAnswerLostError: if the answer cannot be read.
+    :raises LogAnswerLostError: if it is not JSON or lacks the field.
     """
     try:
-        return json.loads(answer)[name]
+        return json.loads(body)[name]
     except (ValueError, KeyError, TypeError) as error:
-        raise LogAnswerLostError(f"unreadable answer: {error!r}") from error
+        raise LogAnswerLostError(f"invalid response: {error!r}") from error
--- a/src/kumquatseam/logservice/_keyed_listener.py
+++ b/src/kumquatseam/logservice/_keyed_listener.py
@@ -1,4 +1,4 @@
-"""What takes in the values of a keyed topic."""
+"""Interface for applying the values of a keyed topic."""
 
 import abc
 
@@ -7,16 +7,17 @@
 
 @attrs.frozen
 class ChangeContext:
-    """How a value was learnt.
-
-    :param is_initial: it was written at an unknown time before; otherwise it is
-        new.
-    :param outage_age_s: how long ago the log was last out of reach; ``None`` if
-        not lately.
-    :param is_restored: the log returned from an older copy: the value may be older
-        than the one known, and a dropped key may be lost.
-    :param unseen_s: what is new may have been written this long before it was
-        learnt: this instance stood still, or nobody read the log.
+    """Circumstances in which a change was read.
+
+    :param is_initial: part of the first read of the topic, so written at an unknown
+        time; otherwise the value is new.
+    :param outage_age_s: how long ago the log was last unreachable; ``None`` if
+        not recently.
+    :param is_restored: the log was restored from an older copy: the value may be
+        older than the known one, and a missing key may have been lost rather than
+        deleted.
+    :param unseen_s: a new value may have been written up to this long before it was
+        read, because this process was suspended or no instance read the log.
     """
 
     is_initial: bool = False
@@ -26,16 +27,16 @@
 
 
 class KeyedListener(abc.ABC):
-    """Takes in what a keyed topic holds."""
+    """Applies the values of a keyed topic."""
 
     @abc.abstractmethod
     def apply(self, key: str, value: bytes, change_context: ChangeContext) -> bool:
-        """Take in a new value; empty when the key was dropped.
+        """Apply a new value; empty if the key was deleted.
 
-        :returns: whether it changed anything; what did not is not passed on to
-            other instances, and after a return of the log from a copy does not take
-            the place of the value before.
+        :returns: whether it changed anything. If not, the value is not forwarded to
+            other instances, and after a restore of the log from an older copy it
+            does not replace the previous value.
         """
 
-    def note_synced(self) -> None:  # noqa: B027 - most listeners need not know
-        """Note that everything the topic held a moment ago was taken in."""
+    def note_synced(self) -> None:  # noqa: B027 - optional hook
+        """Note that all values up to the end of the topic were applied."""
--- a/src/kumquatseam/logservice/_keyed_reader.py
+++ b/src/kumquatseam/logservice/_keyed_reader.py
@@ -1,4 +1,4 @@
-"""Reading the newest records of a keyed topic, once whole and then what is new."""
+"""Reading a keyed topic: a snapshot first, then only new records."""
 
 import attrs
 
@@ -17,7 +17,7 @@
 
     :param offset: the offset of its record.
     :param key: the key.
-    :param value: the value; empty when the key was dropped.
+    :param value: the value; empty if the key was deleted.
     """
 
     offset: int
@@ -27,13 +27,13 @@
 
 @attrs.frozen
 class KeyedBatch:
-    """What one read of a keyed topic returned.
+    """The result of one read of a keyed topic.
 
     :param from_offset: the first offset it covers.
-    :param next_offset: where to go on reading.
+    :param next_offset: where the next read starts.
     :param changes: in order of their offsets.
-    :param is_snapshot: the changes are everything the topic holds, and a key that
-        is not among them was dropped.
+    :param is_snapshot: the changes are all keys of the topic; a key that is not
+        among them was deleted.
     """
 
     from_offset: int
@@ -54,23 +54,23 @@
         self._topic = topic
 
     def read(self, from_offset: int | None, wait_s: float = 0.0) -> KeyedBatch:
-        """Return what is new since ``from_offset``.
+        """Return the changes since ``from_offset``.
 
-        History that the log no longer keeps, or an end that went back, means
-        reading everything again.
+        Returns a snapshot instead if those records have expired or the topic now
+        ends before ``from_offset``.
 
-        :param from_offset: ``None`` to read everything.
-        :param wait_s: how long to wait if there is nothing new.
-        :raises LogServiceError: if the log does not answer.
+        :param from_offset: ``None`` to read a snapshot.
+        :param wait_s: how long to wait for new records if there are none.
+        :raises LogServiceError: if the log service does not respond.
         """
         if from_offset is None:
-            return self._read_whole()
+            return self._read_snapshot()
         try:
             found = self._log_service.read(self._topic, from_offset, wait_s)
         except LogRecordsExpiredError:
-            return self._read_whole()
+            return self._read_snapshot()
         if found.end_offset < from_offset:
-            return self._read_whole()
+            return self._read_snapshot()
         changes = (
             self._change(record.offset, record.payload) for record in found.records
         )
@@ -80,7 +80,7 @@
             tuple(change for change in changes if change is not None),
         )
 
-    def _read_whole(self) -> KeyedBatch:
+    def _read_snapshot(self) -> KeyedBatch:
         page = self._log_service.newest(self._topic)
         changes = tuple(
             KeyedChange(record.offset, record.key, record.value)
@@ -94,7 +94,7 @@
             key, value = unframe_keyed(payload)
         except (CodecError, UnicodeDecodeError) as error:
             _log.bind(topic=self._topic, offset=offset, error=str(error)).warning(
-                "Bad record."
+                "Cannot decode a record of a keyed topic; skipped."
             )
             return None
         return KeyedChange(offset, key, value)
--- a/src/kumquatseam/logservice/_positions.py
+++ b/src/kumquatseam/logservice/_positions.py
@@ -1,16 +1,17 @@
-"""Positions in a topic, which never go back although offsets may.
-
-A log service that returns from an older copy gives offsets out a second time. Each
-return begins an era, which its answers name. A position is an offset with its era:
-one number, ordered by the era first, so that whatever compares positions (copies of
-topics, fencing tokens) takes what was written after a return for newer. In the
-first era, and with a service that names none, positions are plain offsets.
+"""Positions in a topic, which increase even if offsets are reused.
+
+A log service that is restored from an older copy assigns the same offsets again.
+Each restore starts a new era, which is stated in its responses. A position is an
+offset combined with its era in one number, ordered by era first, so that comparing
+positions (of topic copies and fencing tokens) treats records written after a restore
+as newer. In the first era, and with a service that states none, positions equal
+offsets.
 """
 
 from kumquatseam.logservice._errors import LogRecordsExpiredError
 
-#: bits of a position that hold the offset. Five years of records at 7,000 a second
-#: fit, and 8,000 eras into the whole numbers that JSON carries exactly.
+#: bits of a position used for the offset: enough for five years at 7,000 records a
+#: second, and leaves 8,000 eras within the integers that JSON represents exactly.
 _OFFSET_BITS = 40
 
 
@@ -30,11 +31,11 @@
 
 
 def check_era(topic: str, at: int, era: int, first_offset: int) -> None:
-    """Check that a position is of the era that the log service is in.
+    """Check that a position belongs to the log service's current era.
 
-    :param first_offset: the oldest offset still kept.
-    :raises LogRecordsExpiredError: if it is not: what lies there now is something
-        else. The beginning of a topic is the same in all eras.
+    :param first_offset: the oldest offset still retained.
+    :raises LogRecordsExpiredError: if it belongs to another era, since the offset now
+        holds a different record. The start of a topic is valid in all eras.
     """
     if era_of(at) != era and offset_of(at):
         raise LogRecordsExpiredError(topic, position(era, first_offset))
--- a/src/kumquatseam/logservice/_service.py
+++ b/src/kumquatseam/logservice/_service.py
@@ -1,7 +1,7 @@
 """The interface to the log service and the records it returns.
 
-Every offset here is a position: an offset with the era of the log service, see
-:mod:`kumquatseam.logservice._positions`.
+Every offset here is a position: an offset combined with the era of the log service;
+see :mod:`kumquatseam.logservice._positions`.
 """
 
 import abc
@@ -10,7 +10,7 @@
 
 import attrs
 
-#: topics whose name begins so keep the newest record of each key for good.
+#: topics with this prefix retain the newest record of each key indefinitely.
 KEYED_PREFIX = "keyed."
 
 
@@ -18,8 +18,8 @@
 class LogRecord:
     """One record of a topic.
 
-    :param offset: its place in the topic, from 0 without gaps.
-    :param payload: its bytes.
+    :param offset: its position in the topic; offsets start at 0 and have no gaps.
+    :param payload: its content.
     """
 
     offset: int
@@ -28,11 +28,11 @@
 
 @attrs.frozen
 class LogSlice:
-    """What a read returned.
+    """The result of a read.
 
-    :param first_offset: the oldest offset the topic still keeps.
-    :param end_offset: the offset the next record will get.
-    :param records: consecutive records from the offset asked for.
+    :param first_offset: the oldest offset that the topic still retains.
+    :param end_offset: the offset of the next record to be appended.
+    :param records: consecutive records from the requested offset on.
     """
 
     first_offset: int
@@ -45,8 +45,8 @@
     """The newest record of one key in a keyed topic.
 
     :param key: the key.
-    :param value: its newest value; empty when the key was dropped.
-    :param offset: that record's offset.
+    :param value: its newest value; empty if the key was deleted.
+    :param offset: the record's offset.
     """
 
     key: str
@@ -58,8 +58,8 @@
 class KeyedPage:
     """The newest record of each key of a keyed topic.
 
-    :param records: by key, in key order.
-    :param end_offset: where the topic ended when the last page was read.
+    :param records: one per key, in key order.
+    :param end_offset: the end of the topic when the first page was read.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -70,39 +70,39 @@
     """An append-only log of topics, each a sequence of records."""
 
     def pause(self, pause_s: float) -> None:
-        """Wait between two attempts at a call."""
+        """Wait before a call is retried."""
         time.sleep(pause_s)
 
     @abc.abstractmethod
     def append(
         self, topic: str, payloads: Sequence[bytes], at: int | None = None
     ) -> int:
-        """Append ``payloads`` all or nothing.
+        """Append ``payloads`` atomically.
 
         :param topic: created on first use.
         :param at: append only if the topic ends at this offset.
-        :returns: the offset of the first record. It is of a later era than ``at`` if
-            the service returned from a copy meanwhile and happened to end there.
+        :returns: the offset of the first record. It has a later era than ``at`` if the
+            service was restored from an older copy that ends at the same offset.
         :raises LogConflictError: if the topic does not end at ``at``.
-        :raises LogUnavailableError: if nothing was done.
-        :raises LogAnswerLostError: if it may have been done.
+        :raises LogUnavailableError: if nothing was appended.
+        :raises LogAnswerLostError: if it is unknown whether they were appended.
         """
 
     @abc.abstractmethod
     def read(self, topic: str, from_offset: int, wait_s: float = 0.0) -> LogSlice:
-        """Return records from ``from_offset`` on, waiting for the first.
+        """Return records from ``from_offset`` on (long poll).
 
-        :param wait_s: how long to wait if the topic ends there.
-        :raises LogRecordsExpiredError: if they are no longer kept, or the service
-            returned from a copy since ``from_offset`` was given out.
-        :raises LogServiceError: if the service did not answer.
+        :param wait_s: how long to wait for a record if the topic ends there.
+        :raises LogRecordsExpiredError: if they are no longer retained, or the service
+            was restored from an older copy since ``from_offset`` was assigned.
+        :raises LogServiceError: if the service did not respond.
         """
 
     @abc.abstractmethod
     def newest(self, topic: str) -> KeyedPage:
         """Return the newest record of each key of a keyed topic.
 
-        :raises LogServiceError: if the service did not answer.
+        :raises LogServiceError: if the service did not respond.
         """
 
     @abc.abstractmethod
--- a/src/kumquatseam/platform/__init__.py
+++ b/src/kumquatseam/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The users' platform: translates its wire names and nothing else.
+"""Adapter for the users' platform: converts its wire formats.
 
-``python3 -m kumquatseam.platform`` runs the gateway with its
-:class:`~kumquatseam.platform.adapter.PlatformAdapter`; decisions, state and
-recovery lie outside this folder. Nothing is imported here, since the program
-has to make the standard library cooperative before anything else loads.
+``python3 -m kumquatseam.platform`` runs the gateway with
+:class:`~kumquatseam.platform.adapter.PlatformAdapter`. Decisions, state and
+recovery are implemented in other packages. Nothing is imported here, since gevent
+has to patch the standard library before any other import.
 """
--- a/src/kumquatseam/platform/__main__.py
+++ b/src/kumquatseam/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway daemon on the users' platform: ``python3 -m kumquatseam.platform``."""
+"""Gateway daemon for the users' platform: ``python3 -m kumquatseam.platform``."""
 
 from gevent import monkey
 
@@ -9,7 +9,7 @@
 from kumquatseam.gateway.program import run  # noqa: E402
 from kumquatseam.platform.adapter import PlatformAdapter  # noqa: E402
 
-#: names the settings file.
+#: environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "KUMQUATSEAM_SETTINGS"
 
 if __name__ == "__main__":
--- a/src/kumquatseam/platform/_cache_events.py
+++ b/src/kumquatseam/platform/_cache_events.py
@@ -1,4 +1,4 @@
-"""What the platform's engines and stores say that they keep."""
+"""Client of the cache listings and events of the platform's engines and stores."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,26 +12,28 @@
 
 _log = part_logger("cache")
 
-#: time to answer, beyond what a question waits.
+#: response timeout, in addition to the wait of a long poll.
 _TIMEOUT_S = 0.6
 
 
 class PlatformCacheClient(CacheClient):
-    """Speaks the calls for cache events and lists."""
+    """Requests cache listings and events over HTTP."""
 
     def __init__(self) -> None:
         self._pools = AddressPools()
 
     def list_parts(self, holder: CacheHolder) -> CacheListing | None:
-        return self._ask(holder, "/kv-list", {}, 0.0, _listing)
+        return self._get(holder, "/kv-list", {}, 0.0, _decode_listing)
 
     def read_events(
         self, holder: CacheHolder, since: int, wait_s: float
     ) -> CachePage | None:
         headers = {"Wait-Ms": str(int(wait_s * 1000))}
-        return self._ask(holder, f"/kv-events?since={since}", headers, wait_s, _page)
+        return self._get(
+            holder, f"/kv-events?since={since}", headers, wait_s, _decode_page
+        )
 
-    def _ask(self, holder: CacheHolder, path: str, headers, wait_s: float, build):
+    def _get(self, holder: CacheHolder, path: str, headers, wait_s: float, build):
         if holder.upstream_id:
             headers = {**headers, "X-Expect-Instance": holder.upstream_id}
         try:
@@ -48,38 +50,38 @@
         except (urllib3.exceptions.HTTPError, DecodingError) as error:
             reason = repr(error)
         _log.bind(holder=holder.holder, path=path, error=reason).info(
-            "A holder does not say what it keeps."
+            "Cannot read the cache contents of a holder."
         )
         return None
 
 
-def _listing(raw: Mapping) -> CacheListing:
+def _decode_listing(raw: Mapping) -> CacheListing:
     return CacheListing(
         int(raw["epoch"]),
         int(raw["nextToken"]),
-        tuple(_held(*row[:3]) for row in raw["held"]),
+        tuple(_held_part(*row[:3]) for row in raw["held"]),
         _born_ms(raw),
     )
 
 
-def _page(raw: Mapping) -> CachePage:
+def _decode_page(raw: Mapping) -> CachePage:
     return CachePage(
         int(raw["epoch"]),
-        # Despite its name the number of the next event.
+        # Despite its name, this is the number of the next event.
         int(raw["nextToken"]),
-        tuple(_change(row) for row in raw["events"]),
+        tuple(_decode_event(row) for row in raw["events"]),
         _born_ms(raw),
         bool(raw["lost"]),
     )
 
 
-def _change(row: Sequence) -> HeldPart:
-    """Return a row of number, sign, scope, part, tokens kept now and model."""
+def _decode_event(row: Sequence) -> HeldPart:
+    """Decode a row: number, sign, scope, part, tokens now cached, model."""
     _, sign, salt, part_id, tokens = row[:5]
-    return _held(salt, part_id, tokens)
+    return _held_part(salt, part_id, tokens)
 
 
-def _held(salt: str, part_id: str, tokens: int) -> HeldPart:
+def _held_part(salt: str, part_id: str, tokens: int) -> HeldPart:
     return HeldPart(str(salt), str(part_id), int(tokens))
 
 
--- a/src/kumquatseam/platform/_entries.py
+++ b/src/kumquatseam/platform/_entries.py
@@ -1,7 +1,7 @@
-"""Decoding what a replica says of itself, whoever wrote it.
+"""Decoding the entries and reports of model servers.
 
-Entries may come from other writers: each field is checked for its type and
-range, and one that does not hold makes the whole entry name no upstream.
+Entries may come from any writer, so the type and range of each field are checked;
+one invalid field makes the whole entry invalid.
 """
 
 import ipaddress
@@ -13,39 +13,39 @@
 from kumquatseam.rollouts import EngineReport, MovedRun
 from kumquatseam.upstreams import Upstream, WeightsVersion
 
-#: larger figures are nonsense; a thousand times what engines have.
+#: a thousand times what engines have; larger values are invalid.
 _MAX_SLOTS = 65_536
-#: an hour; upstreams are slow for seconds after their start.
+#: an hour; upstreams need only seconds to warm up after their start.
 _MAX_COLD_MS = 3_600_000
-#: whole numbers up to here are exact in every JSON library.
+#: integers up to this are exact in every JSON library.
 _MAX_COUNT = 2**53
 _MAX_PORT = 65_535
 _PORT = re.compile(r"[0-9]{1,5}")
-#: an id is sent in a header, so it must not hold spaces or line ends.
+#: an id is sent in a header, so it must not contain spaces or line breaks.
 _ID = re.compile(r"[\x21-\x7e]{1,128}")
 _LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 def decode_upstream(upstream_id: str, value: bytes) -> Upstream:
-    """Return an upstream's entry.
+    """Decode the entry of an upstream.
 
-    :raises DecodingError: if it is not one.
+    :raises DecodingError: if it is invalid.
     """
     return decode_json("upstream", value, lambda raw: _upstream(upstream_id, raw))
 
 
 def decode_report(value: bytes) -> EngineReport:
-    """Return an engine's report of itself.
+    """Decode an engine's status report.
 
-    :raises DecodingError: if it is not one.
+    :raises DecodingError: if it is invalid.
     """
     return decode_json("report", value, _report)
 
 
 def decode_moved_run(source: str, value: bytes) -> MovedRun:
-    """Return a run that an engine stopped and copied.
+    """Decode an engine's response about a run that it stopped and copied.
 
-    :raises DecodingError: if it is not one.
+    :raises DecodingError: if it is invalid.
     """
     return decode_json("moved run", value, lambda raw: _moved_run(source, raw))
 
@@ -72,7 +72,7 @@
 def _report(raw: Mapping) -> EngineReport:
     return EngineReport(
         weights=_weights(raw["models"]),
-        is_busy=_checked(raw, "busy", lambda value: isinstance(value, bool)),
+        is_busy=_checked_field(raw, "busy", lambda value: isinstance(value, bool)),
         orders_accepted=_count(raw, "sequence"),
         waiting=_count(raw, "waiting"),
         running=_count(raw, "running"),
@@ -81,7 +81,7 @@
 
 
 def _moved_run(source: str, raw: Mapping) -> MovedRun:
-    # The field counts the events made so far; it is no revision of anything.
+    # Despite its name, createRevision is the number of events generated so far.
     return MovedRun(source, _text(raw, "handle"), _count(raw, "createRevision"))
 
 
@@ -101,7 +101,7 @@
 
 
 def _born_ms(raw: Mapping) -> int:
-    """Return when it started; some replicas do not say."""
+    """Return when the server started; 0 if not stated."""
     return _count(raw, "born", 1) if "born" in raw else 0
 
 
@@ -122,42 +122,42 @@
 
 
 def _text(raw: Mapping, name: str) -> str:
-    return _checked(raw, name, lambda value: isinstance(value, str) and value)
+    return _checked_field(raw, name, lambda value: isinstance(value, str) and value)
 
 
-def _count(raw: Mapping, name: str, least: int = 0, most: int = _MAX_COUNT) -> int:
-    return _checked(
+def _count(raw: Mapping, name: str, minimum: int = 0, maximum: int = _MAX_COUNT) -> int:
+    return _checked_field(
         raw,
         name,
         # A JSON true is an int in Python.
         lambda value: (
             isinstance(value, int)
             and not isinstance(value, bool)
-            and least <= value <= most
+            and minimum <= value <= maximum
         ),
     )
 
 
-def _number(raw: Mapping, name: str, most: float) -> float:
-    return _checked(
+def _number(raw: Mapping, name: str, maximum: float) -> float:
+    return _checked_field(
         raw,
         name,
         lambda value: (
             isinstance(value, int | float)
             and not isinstance(value, bool)
             and math.isfinite(value)
-            and 0 <= value <= most
+            and 0 <= value <= maximum
         ),
     )
 
 
-def _checked(raw: Mapping, name: str, is_sound: Callable[[object], object]):
+def _checked_field(raw: Mapping, name: str, is_valid: Callable[[object], object]):
     """Return a field's value.
 
     :raises KeyError: if it is missing.
-    :raises ValueError: if it is not sound.
+    :raises ValueError: if it is invalid.
     """
     value = raw[name]
-    if not is_sound(value):
+    if not is_valid(value):
         raise ValueError(f"{name}: {str(value)[:80]!r}")
     return value
--- a/src/kumquatseam/platform/_headers.py
+++ b/src/kumquatseam/platform/_headers.py
@@ -1,4 +1,4 @@
-"""Header names of the platform's requests and answers."""
+"""Headers of the platform's requests and responses."""
 
 from kumquatseam.gateway import (
     Call,
@@ -16,8 +16,8 @@
 _VERSION = b"x-weight-versions"
 _KEY_SCHEME = "token "
 
-#: set by the router alone, or meant for it alone: never passed on.
-_NOT_PASSED_ON = frozenset(
+#: addressed to the router or set only by it, so never forwarded.
+_NOT_FORWARDED = frozenset(
     (
         b"authorization",
         _DEADLINE,
@@ -38,7 +38,7 @@
 
 
 class PlatformDialect(Dialect):
-    """The platform's header names."""
+    """Reads and writes the platform's headers."""
 
     request_id_header = b"x-request-id"
 
@@ -64,7 +64,7 @@
     def upstream_fields(
         self, request: Request, options: SendOptions
     ) -> list[tuple[bytes, bytes]]:
-        fields = request.headers.forwardable_fields(_NOT_PASSED_ON)
+        fields = request.headers.forwardable_fields(_NOT_FORWARDED)
         remaining_ms = max(1, int(options.remaining_s * 1000))
         fields.append((b"X-Deadline-Ms", b"%d" % remaining_ms))
         optional = (
@@ -88,7 +88,7 @@
         is_refused = headers.get(b"x-not-executed") is not None
         return ResponseTraits(
             is_not_run=is_refused or head.status == 421,
-            weights_version=_whole_number(headers.text(_VERSION)),
+            weights_version=_integer_or_none(headers.text(_VERSION)),
             keep_alive_s=_keep_alive_s(headers),
             is_signed=headers.get(b"x-replica-signature") is not None,
             responding_id=headers.text(b"x-replica-id") if head.status == 421 else "",
@@ -109,11 +109,11 @@
     try:
         return max(0.0, float(text) / 1000.0)
     except ValueError as error:
-        raise MalformedCallError("X-Deadline-Ms", f"no number: {text!r}") from error
+        raise MalformedCallError("X-Deadline-Ms", f"not a number: {text!r}") from error
 
 
 def _usage(headers: Headers) -> tuple[int, int] | None:
-    """Return the prompt's tokens and the most to generate, if they are named."""
+    """Return the prompt's tokens and the maximum output tokens, if stated."""
     text = headers.text(_USAGE)
     if not text:
         return None
@@ -121,9 +121,9 @@
     try:
         usage = int(prompt_tokens), int(output_tokens or 0)
     except ValueError as error:
-        raise MalformedCallError("X-Token-Usage", f"no numbers: {text!r}") from error
+        raise MalformedCallError("X-Token-Usage", f"not numbers: {text!r}") from error
     if min(usage) < 0:
-        raise MalformedCallError("X-Token-Usage", f"below zero: {text!r}")
+        raise MalformedCallError("X-Token-Usage", f"negative: {text!r}")
     return usage
 
 
@@ -135,7 +135,7 @@
     for entry in text.split(","):
         part_id, _, tokens = entry.strip().partition(":")
         if not part_id or not tokens.isdigit():
-            raise MalformedCallError("X-Prompt-Prefix", f"bad entry: {entry!r}")
+            raise MalformedCallError("X-Prompt-Prefix", f"invalid entry: {entry!r}")
         parts.append(PromptPart(part_id, int(tokens)))
     return PromptChain(tuple(parts))
 
@@ -144,12 +144,12 @@
     for item in headers.text(b"keep-alive").split(","):
         name, _, value = item.strip().partition("=")
         if name.lower() == "timeout":
-            number = _whole_number(value)
+            number = _integer_or_none(value)
             return None if number is None else float(number)
     return None
 
 
-def _whole_number(text: str) -> int | None:
+def _integer_or_none(text: str) -> int | None:
     try:
         return int(text)
     except ValueError:
--- a/src/kumquatseam/platform/_orders.py
+++ b/src/kumquatseam/platform/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's engines and their reports."""
+"""Client of the order and report calls of the platform's engines."""
 
 import json
 
@@ -20,11 +20,10 @@
 
 _log = part_logger("orders")
 
-#: an engine answers an order before it carries it out; half a second covers
-#: the way there and back many times over.
+#: engines respond to an order before they execute it, so half a second is many
+#: times the round trip.
 _TIMEOUT_S = 0.5
-#: a move waits its turn behind others on both links: some tens of runs, each
-#: about 15 ms.
+#: a move queues behind others on both links: some tens of runs of about 15 ms each.
 _MOVE_TIMEOUT_S = 2.0
 _MODES = {LoadMode.DRAIN_FIRST: "queue", LoadMode.IN_PLACE: "retain"}
 _OUTCOMES = {
@@ -37,7 +36,7 @@
 
 
 class PlatformOrderClient(OrderClient):
-    """Speaks the engines' order and report calls."""
+    """Sends orders and requests reports over HTTP."""
 
     def __init__(self) -> None:
         self._pools = AddressPools()
@@ -58,10 +57,10 @@
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            self._log_lost(upstream, "order", error)
+            self._log_failure(upstream, "order", error)
             return OrderOutcome.UNREACHED
         except urllib3.exceptions.HTTPError as error:
-            self._log_lost(upstream, "order", error)
+            self._log_failure(upstream, "order", error)
             return OrderOutcome.UNANSWERED
         return _OUTCOMES.get(response.status, OrderOutcome.REFUSED)
 
@@ -72,7 +71,7 @@
                 return None
             return decode_report(response.data)
         except (urllib3.exceptions.HTTPError, DecodingError) as error:
-            self._log_lost(upstream, "report", error)
+            self._log_failure(upstream, "report", error)
             return None
 
     def move_run(
@@ -86,7 +85,7 @@
             if response.status == 200:
                 return decode_moved_run(source.address, response.data)
         except (urllib3.exceptions.HTTPError, DecodingError) as error:
-            self._log_lost(source, "move", error)
+            self._log_failure(source, "move", error)
             return None
         _log.bind(
             upstream=source.incarnation_id,
@@ -116,7 +115,7 @@
             timeout=urllib3.Timeout(timeout_s),
         )
 
-    def _log_lost(self, upstream: Upstream, call: str, error: Exception) -> None:
+    def _log_failure(self, upstream: Upstream, call: str, error: Exception) -> None:
         _log.bind(
             upstream=upstream.incarnation_id, call=call, error=repr(error)
-        ).warning("No answer.")
+        ).warning("Call to an engine failed.")
--- a/src/kumquatseam/platform/_records.py
+++ b/src/kumquatseam/platform/_records.py
@@ -1,4 +1,4 @@
-"""Decoding the operators' JSON records into the project's types."""
+"""Decoding the operators' JSON records."""
 
 from collections.abc import Mapping
 
@@ -17,22 +17,22 @@
 )
 from kumquatseam.upstreams import WeightsVersion
 
-#: the unit of a quota that counts tokens; any other one counts requests.
-_COUNTED_IN_TOKENS = "token_stream"
+#: unit of a token quota; any other unit counts requests.
+_TOKEN_UNIT = "token_stream"
 
 
 def decode_route_table(value: bytes) -> RouteTable:
-    """Return the configuration in an operator's record.
+    """Decode an operator's configuration record.
 
-    :raises DecodingError: if it is not one.
+    :raises DecodingError: if it is invalid.
     """
     return decode_json("configuration", value, _route_table)
 
 
 def decode_weights(value: bytes) -> WeightsVersion:
-    """Return the weights an operator named.
+    """Decode an operator's record of the target weights of a model.
 
-    :raises DecodingError: if there are none.
+    :raises DecodingError: if it is invalid.
     """
     return decode_json(
         "weights", value, lambda raw: WeightsVersion(raw["model"], int(raw["version"]))
@@ -51,13 +51,13 @@
 
 def _route(raw: Mapping) -> Route:
     kind = raw["kind"]
-    repeats = kind == "idempotent"
+    is_idempotent = kind == "idempotent"
     return Route(
         name=raw["name"],
         host=raw["host"].lower(),
         path_prefix=raw["pathPrefix"],
         repeatability=(
-            Repeatability.IDEMPOTENT if repeats else Repeatability.NON_IDEMPOTENT
+            Repeatability.IDEMPOTENT if is_idempotent else Repeatability.NON_IDEMPOTENT
         ),
         shares=_shares(raw),
         is_stream=kind == "stream",
@@ -123,14 +123,14 @@
 
 
 def _quota(raw: Mapping) -> TeamQuota | None:
-    """Return a team's quota; a rate of 0, or none, means no limit."""
+    """Return a team's quota; a rate of 0 or a missing one means no limit."""
     rate_per_s = float(raw.get("ratePerS") or 0)
     if rate_per_s <= 0:
         return None
     return TeamQuota(
         rate_per_s,
         max(0.0, float(raw.get("burst") or 0)),
-        is_token_based=raw.get("unit") == _COUNTED_IN_TOKENS,
+        is_token_based=raw.get("unit") == _TOKEN_UNIT,
         default_tokens=max(0, int(raw.get("plainTokens") or 0)),
     )
 
--- a/src/kumquatseam/platform/_values.py
+++ b/src/kumquatseam/platform/_values.py
@@ -1,4 +1,4 @@
-"""Decoding JSON values with one typed error."""
+"""Decoding JSON values, with one error class for every fault."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -10,10 +10,10 @@
 
 @attrs.define(frozen=True, eq=False)
 class DecodingError(KumquatseamError):
-    """A value from the platform cannot be understood.
+    """A value from the platform is invalid.
 
     :param what: the kind of value.
-    :param reason: what is wrong, with the field.
+    :param reason: the invalid field and what is wrong with it.
     """
 
     what: str
@@ -24,10 +24,10 @@
 
 
 def decode_json(what: str, value: bytes, build: Callable[[Mapping], object]):
-    """Return what ``build`` makes of a JSON object.
+    """Parse a JSON object and return ``build`` of it.
 
     :param what: the kind of value, for the error.
-    :raises DecodingError: if it is none, or lacks what ``build`` needs.
+    :raises DecodingError: if it is not JSON, or ``build`` rejects it.
     """
     try:
         return build(json.loads(value))
--- a/src/kumquatseam/platform/adapter.py
+++ b/src/kumquatseam/platform/adapter.py
@@ -1,4 +1,4 @@
-"""What the platform gives the composition root."""
+"""The platform's implementations for the gateway's wiring."""
 
 from kumquatseam.cachefeeds import CacheClient
 from kumquatseam.gateway import Adapter, Dialect
@@ -18,7 +18,7 @@
 
 
 class PlatformAdapter(Adapter):
-    """The users' platform."""
+    """Adapter for the users' platform."""
 
     operator_topic = OPERATOR_TOPIC
     upstream_topic = UPSTREAM_TOPIC
