--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -266,7 +266,7 @@
 
 @then("a query reports that {name} did not answer")
 def step_unreachable(context, name):
-    assert context.console.query("show running").silent == (name,)
+    assert context.console.query("show running").unanswered == (name,)
 
 
 @when("a caller streams a {tokens:d}-token completion from each engine")
--- a/src/kumquatseam/bench/_demo.py
+++ b/src/kumquatseam/bench/_demo.py
@@ -14,7 +14,7 @@
 from kumquatseam.bench._driver import DriveResult, DriveTarget, WorkloadDriver
 from kumquatseam.bench._processes import daemon_program, standin_program
 from kumquatseam.bench._workload import NestedPromptWorkload, WorkloadTeam
-from kumquatseam.metrics.figures import FiguresSummary
+from kumquatseam.metrics.figures import RequestStatisticsSummary
 from kumquatseam.settings import Settings, load_settings
 
 #: blocks each demo engine holds: too few for every opening on every engine.
@@ -32,7 +32,7 @@
     """
 
     policy: str
-    figures: FiguresSummary
+    figures: RequestStatisticsSummary
     drive: DriveResult
     route_lines: int
 
--- a/src/kumquatseam/bench/_driver.py
+++ b/src/kumquatseam/bench/_driver.py
@@ -10,7 +10,7 @@
 
 from kumquatseam.bench._workload import WorkloadRequest
 from kumquatseam.engines import cache_salt
-from kumquatseam.metrics.figures import RequestFigures
+from kumquatseam.metrics.figures import RequestStatistics
 
 
 @attrs.frozen
@@ -58,7 +58,7 @@
             retries=False,
             timeout=urllib3.Timeout(connect=2, read=30),
         )
-        self.figures = RequestFigures()
+        self.figures = RequestStatistics()
         self._incomplete = 0
         self._refusals = 0
 
--- a/src/kumquatseam/bench/_modelled.py
+++ b/src/kumquatseam/bench/_modelled.py
@@ -31,7 +31,7 @@
 from kumquatseam.engines import block_keys, cache_salt, salt_seed
 from kumquatseam.errors import OverloadedError
 from kumquatseam.fleet import Heartbeat, LiveConfiguration, WarmState
-from kumquatseam.metrics.figures import FiguresSummary, RequestFigures
+from kumquatseam.metrics.figures import RequestStatistics, RequestStatisticsSummary
 from kumquatseam.routing import (
     PeerSummaries,
     Router,
@@ -81,7 +81,7 @@
     :param class_refused: refused requests by priority class.
     """
 
-    summary: FiguresSummary
+    summary: RequestStatisticsSummary
     duplicates: int
     lost: int
     timeline: tuple[TimelinePoint, ...] = ()
@@ -125,7 +125,7 @@
         self._now_s = 0.0
         self._steps: list = []
         self._order = itertools.count()
-        self._figures = RequestFigures()
+        self._figures = RequestStatistics()
         self._timeline: list[TimelinePoint] = []
         self._answers: dict[int, int] = {}
         self._refused: dict[str, int] = {}
--- a/src/kumquatseam/callers/_interface.py
+++ b/src/kumquatseam/callers/_interface.py
@@ -32,7 +32,7 @@
 from kumquatseam.errors import CallerError, KumquatseamError
 from kumquatseam.fleet import LiveConfiguration
 from kumquatseam.logs import part_logger
-from kumquatseam.metrics.figures import RequestFigures
+from kumquatseam.metrics.figures import RequestStatistics
 from kumquatseam.services import ServiceCall
 from kumquatseam.serving import (
     AnswerOutcome,
@@ -67,7 +67,7 @@
         completions: CompletionServer,
         services: ServiceServer,
         refusals: RefusalLog,
-        figures: RequestFigures,
+        figures: RequestStatistics,
         read_status: Callable[[], dict],
     ) -> None:
         self._daemon = daemon
--- a/src/kumquatseam/fleet/_changes.py
+++ b/src/kumquatseam/fleet/_changes.py
@@ -13,10 +13,10 @@
 from kumquatseam.fleet._records import ALTER, CREATE, DROP, EntityChange
 from kumquatseam.settings import (
     Configuration,
-    FieldFault,
-    ReferenceFault,
+    InvalidFieldError,
+    InvalidReferenceError,
     build_entity,
-    write_fields,
+    format_fields,
 )
 
 
@@ -52,7 +52,7 @@
         return configuration
     try:
         configuration.check()
-    except ReferenceFault as fault:
+    except InvalidReferenceError as fault:
         raise ChangeRefusedError(change, str(fault)) from fault
     return configuration
 
@@ -64,11 +64,11 @@
     if change.verb != CREATE and existing is None:
         raise ChangeRefusedError(change, "it does not exist")
     if change.verb == DROP:
-        return configuration.without(change.kind, change.name)
-    texts = write_fields(existing) if change.verb == ALTER else {}
+        return configuration.without_entity(change.kind, change.name)
+    texts = format_fields(existing) if change.verb == ALTER else {}
     texts.update({field.key: field.text for field in change.fields})
     try:
         entity = build_entity(change.kind, change.name, texts)
-    except FieldFault as fault:
+    except InvalidFieldError as fault:
         raise ChangeRefusedError(change, str(fault)) from fault
     return configuration.with_entity(change.kind, entity)
--- a/src/kumquatseam/fleet/_follower.py
+++ b/src/kumquatseam/fleet/_follower.py
@@ -42,7 +42,7 @@
     unframe_keyed,
 )
 from kumquatseam.loops import BackgroundTask
-from kumquatseam.settings import Configuration, Entity, FieldFault
+from kumquatseam.settings import Configuration, Entity, InvalidFieldError
 
 _log = part_logger("config")
 
@@ -219,9 +219,9 @@
             continue
         try:
             entities[(kind, name)] = parse_entity(kind, name, record.fields)
-        except (FieldFault, KeyError) as error:
+        except (InvalidFieldError, KeyError) as error:
             _log.warning("Skipped {}: {!r}.", key, error)
-    return Configuration.of((kind, e) for (kind, _), e in entities.items())
+    return Configuration.from_entities((kind, e) for (kind, _), e in entities.items())
 
 
 class ConfigurationFollower(BackgroundTask):
--- a/src/kumquatseam/fleet/_records.py
+++ b/src/kumquatseam/fleet/_records.py
@@ -11,7 +11,7 @@
 import attrs
 
 from kumquatseam.codec import MessageCodec
-from kumquatseam.settings import Configuration, Entity, build_entity, write_fields
+from kumquatseam.settings import Configuration, Entity, build_entity, format_fields
 
 CREATE = "create"
 ALTER = "alter"
@@ -105,13 +105,13 @@
 
 def field_values(entity: Entity) -> tuple[FieldValue, ...]:
     """Return every value of ``entity`` as text."""
-    return tuple(FieldValue(k, text) for k, text in write_fields(entity).items())
+    return tuple(FieldValue(k, text) for k, text in format_fields(entity).items())
 
 
 def parse_entity(kind: str, name: str, fields: tuple[FieldValue, ...]) -> Entity:
     """Return the entity built from text values.
 
-    :raises FieldFault: if a value is missing or invalid.
+    :raises InvalidFieldError: if a value is missing or invalid.
     """
     return build_entity(kind, name, {field.key: field.text for field in fields})
 
@@ -128,8 +128,8 @@
 def from_snapshot(snapshot: ConfigurationSnapshot) -> Configuration:
     """Return the configuration in ``snapshot``.
 
-    :raises FieldFault: if an entity is invalid.
+    :raises InvalidFieldError: if an entity is invalid.
     """
-    return Configuration.of(
+    return Configuration.from_entities(
         (e.kind, parse_entity(e.kind, e.name, e.fields)) for e in snapshot.entities
     )
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -624,7 +624,7 @@
             return
         fields = self._response_fields(head, keep)
         self._caller.start_response(head.status, fields, None, data)
-        self._parts.metrics.note_first_event(
+        self._parts.metrics.record_first_event(
             self._job.route.name, time.monotonic() - self._job.request.received_s
         )
 
--- a/src/kumquatseam/gateway/_gauges.py
+++ b/src/kumquatseam/gateway/_gauges.py
@@ -43,46 +43,52 @@
 def _add_state(metrics: GatewayMetrics, parts: GaugeParts) -> None:
     """Add gauges of this instance's view of the fleet and the upstreams."""
     live, directory, targets = parts.live, parts.directory, parts.targets
-    metrics.gauge(
+    metrics.register_gauge(
         "configuration_version", lambda: live.current.version if live.current else 0
     )
-    metrics.gauge("upstreams", lambda: len(directory.all()))
-    metrics.gauge(
+    metrics.register_gauge("upstreams", lambda: len(directory.all()))
+    metrics.register_gauge(
         "upstream_list_age_seconds",
         lambda: time.monotonic() - (directory.list_confirmed_s or 0.0),
     )
-    metrics.gauge("upstreams_held_out", lambda: _count_held_out(directory))
-    metrics.gauge(
+    metrics.register_gauge("upstreams_held_out", lambda: _count_held_out(directory))
+    metrics.register_gauge(
         "weights_version",
         lambda: max((named.version for named in targets.all()), default=0),
     )
-    metrics.gauge(
+    metrics.register_gauge(
         "upstreams_on_newest_weights",
         lambda: _count_on_newest_weights(directory, targets),
     )
-    metrics.gauge("requests_suspected", lambda: len(parts.quarantine.suspects))
-    metrics.gauge("quotas_kept", lambda: len(parts.quotas.allocator))
-    metrics.gauge("holders_tracked", lambda: len(parts.tracker.tracked_holders()))
+    metrics.register_gauge("requests_suspected", lambda: len(parts.quarantine.suspects))
+    metrics.register_gauge("quotas_kept", lambda: len(parts.quotas.allocator))
+    metrics.register_gauge(
+        "holders_tracked", lambda: len(parts.tracker.tracked_holders())
+    )
 
 
 def _add_traffic(metrics: GatewayMetrics, parts: GaugeParts) -> None:
     """Add counters of this instance's connections, messages and queries."""
     client = parts.tracker_client
-    metrics.counter("suspects_tried", lambda: parts.quarantine.trials)
-    metrics.counter("quota_refusals", lambda: parts.quotas.refused)
-    metrics.counter("quota_questions", lambda: parts.quotas.calls.call_count)
-    metrics.counter("quota_keepers_silent", lambda: parts.quotas.calls.timeout_count)
-    metrics.counter("quota_decided_alone", lambda: parts.quotas.decided_locally)
-    metrics.counter("upstream_connections", lambda: parts.pool.opened)
-    metrics.counter("caller_connections", lambda: parts.server.accepted)
-    metrics.counter("log_calls", lambda: parts.log_service.calls)
-    metrics.counter("peer_messages_sent", lambda: parts.bus.sent)
-    metrics.counter("peer_messages_received", lambda: parts.bus.received)
-    metrics.counter("peer_bytes_received", lambda: parts.bus.received_bytes)
-    metrics.counter("datagrams_sent", lambda: parts.datagrams.sent)
-    metrics.counter("datagrams_received", lambda: parts.datagrams.received)
-    metrics.counter("trackers_asked", lambda: client.query_count)
-    metrics.counter("trackers_silent", lambda: client.timeout_count)
+    metrics.register_counter("suspects_tried", lambda: parts.quarantine.trials)
+    metrics.register_counter("quota_refusals", lambda: parts.quotas.refused)
+    metrics.register_counter("quota_questions", lambda: parts.quotas.calls.call_count)
+    metrics.register_counter(
+        "quota_keepers_silent", lambda: parts.quotas.calls.timeout_count
+    )
+    metrics.register_counter(
+        "quota_decided_alone", lambda: parts.quotas.decided_locally
+    )
+    metrics.register_counter("upstream_connections", lambda: parts.pool.opened)
+    metrics.register_counter("caller_connections", lambda: parts.server.accepted)
+    metrics.register_counter("log_calls", lambda: parts.log_service.calls)
+    metrics.register_counter("peer_messages_sent", lambda: parts.bus.sent)
+    metrics.register_counter("peer_messages_received", lambda: parts.bus.received)
+    metrics.register_counter("peer_bytes_received", lambda: parts.bus.received_bytes)
+    metrics.register_counter("datagrams_sent", lambda: parts.datagrams.sent)
+    metrics.register_counter("datagrams_received", lambda: parts.datagrams.received)
+    metrics.register_counter("trackers_asked", lambda: client.query_count)
+    metrics.register_counter("trackers_silent", lambda: client.timeout_count)
 
 
 def _count_held_out(directory: UpstreamDirectory) -> int:
--- a/src/kumquatseam/gateway/_handler.py
+++ b/src/kumquatseam/gateway/_handler.py
@@ -115,7 +115,7 @@
             return self._refuse(request_id, caller, may_keep_alive, fault)
         finally:
             took_s = time.monotonic() - request.received_s
-            self._parts.metrics.note_request(kind, outcome, took_s)
+            self._parts.metrics.record_request(kind, outcome, took_s)
 
     def _admit(self, request: Request) -> Job:
         """Authenticate the request, and return it with its route, service and team.
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -221,7 +221,7 @@
             work=self._work,
             reuse_window_s=self._file.prompts.reuse_window_s,
             replaced_weights_grace=ReplacedWeightsGrace(
-                self._file.rollout.begin_s,
+                self._file.rollout.replaced_weights_grace_s,
                 operator_pace(self._file.feeds).stale_after_s,
             ),
         )
@@ -280,7 +280,8 @@
             view,
             lambda engines: self._work.running_on(engines, ROLLOUT_LOAD_MAX_AGE_S),
             bounds=RolloutBounds(
-                self._file.rollout.begin_s, self._file.rollout.complete_s
+                self._file.rollout.replaced_weights_grace_s,
+                self._file.rollout.complete_s,
             ),
         )
 
@@ -448,8 +449,8 @@
             self._quotas,
         )
         add_gauges(self._metrics, parts)
-        self._metrics.gauge("peers_alive", self._count_instances)
-        self._metrics.gauge(
+        self._metrics.register_gauge("peers_alive", self._count_instances)
+        self._metrics.register_gauge(
             "retries_in_window",
             lambda: sum(budget.retries_in_window for budget in self._budgets.values()),
         )
--- a/src/kumquatseam/metrics/figures.py
+++ b/src/kumquatseam/metrics/figures.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class FiguresSummary:
+class RequestStatisticsSummary:
     """The users' measures over a set of requests.
 
     :param requests: requests answered.
@@ -37,7 +37,7 @@
         return self.cached_tokens / self.prompt_tokens if self.prompt_tokens else 0.0
 
 
-class RequestFigures:
+class RequestStatistics:
     """Accumulates figures request by request."""
 
     def __init__(self) -> None:
@@ -96,9 +96,9 @@
         """Record one refused request."""
         self._refused += 1
 
-    def summary(self) -> FiguresSummary:
+    def summary(self) -> RequestStatisticsSummary:
         """Return the figures so far."""
-        return FiguresSummary(
+        return RequestStatisticsSummary(
             requests=self._requests,
             refused=self._refused,
             prompt_tokens=self._prompt_tokens,
--- a/src/kumquatseam/operators/__init__.py
+++ b/src/kumquatseam/operators/__init__.py
@@ -5,7 +5,7 @@
 - :class:`FleetConsole` asks every router and appends commands to the log.
 """
 
-from kumquatseam.operators._answers import AnswerSources, QueryAnswerer
+from kumquatseam.operators._answers import QueryAnswerer, QuerySources
 from kumquatseam.operators._commands import changes_of
 from kumquatseam.operators._console import (
     AppliedCommands,
@@ -19,7 +19,7 @@
 
 __all__ = [
     "SUBJECT_COLUMNS",
-    "AnswerSources",
+    "QuerySources",
     "AppliedCommands",
     "CommandConflictError",
     "Commands",
--- a/src/kumquatseam/operators/_answers.py
+++ b/src/kumquatseam/operators/_answers.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class AnswerSources:
+class QuerySources:
     """The parts of a daemon that queries are about.
 
     :param name: the router's name.
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, sources: AnswerSources, clock: Callable[[], float] = time.monotonic
+        self, sources: QuerySources, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self._sources = sources
         self._clock = clock
--- a/src/kumquatseam/settings/__init__.py
+++ b/src/kumquatseam/settings/__init__.py
@@ -7,7 +7,7 @@
 fleet runs; :func:`build_entity` reads one from text values.
 """
 
-from kumquatseam.settings._configuration import Configuration, ReferenceFault
+from kumquatseam.settings._configuration import Configuration, InvalidReferenceError
 from kumquatseam.settings._entities import (
     ACTIVE,
     DRAINING,
@@ -20,7 +20,7 @@
     UpstreamSettings,
     build_entity,
 )
-from kumquatseam.settings._fields import FieldFault, field_keys, write_fields
+from kumquatseam.settings._fields import InvalidFieldError, field_keys, format_fields
 from kumquatseam.settings._gateway import (
     FeedSettings,
     GatewayFile,
@@ -54,7 +54,7 @@
     "DaemonSettings",
     "Entity",
     "FeedSettings",
-    "FieldFault",
+    "InvalidFieldError",
     "FleetSettings",
     "GatewayFile",
     "GatewaySettings",
@@ -62,7 +62,7 @@
     "LogSettings",
     "ModelSettings",
     "PrioritySettings",
-    "ReferenceFault",
+    "InvalidReferenceError",
     "RetrySettings",
     "ServiceSettings",
     "Settings",
@@ -73,5 +73,5 @@
     "load_gateway_settings",
     "load_settings",
     "parse_settings",
-    "write_fields",
+    "format_fields",
 ]
--- a/src/kumquatseam/settings/_configuration.py
+++ b/src/kumquatseam/settings/_configuration.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define(frozen=True, eq=False)
-class ReferenceFault(KumquatseamError):
+class InvalidReferenceError(KumquatseamError):
     """An entity names another that does not exist, or claims its key.
 
     :param section: ``KIND:NAME`` of the entity at fault.
@@ -136,7 +136,7 @@
     def check(self) -> None:
         """Check that every name an entity refers to exists.
 
-        :raises ReferenceFault: at the first that does not, or at an API key
+        :raises InvalidReferenceError: at the first that does not, or at an API key
             two teams share.
         """
         for kind, references in _REFERENCES.items():
@@ -149,13 +149,13 @@
                 owner = owners.setdefault(api_key, team.name)
                 if owner != team.name:
                     reason = f"key also belongs to team {owner}"
-                    raise ReferenceFault(f"team:{team.name}", "api_keys", reason)
+                    raise InvalidReferenceError(f"team:{team.name}", "api_keys", reason)
 
     def _check_names(self, kind: str, entity: Entity, key: str, target: str) -> None:
         for name in getattr(entity, key):
             if name not in self._by_kind[target]:
                 section = f"{kind}:{entity.name}"
-                raise ReferenceFault(section, key, f"unknown name {name!r}")
+                raise InvalidReferenceError(section, key, f"unknown name {name!r}")
 
 
 _FIELDS = {
--- a/src/kumquatseam/settings/_entities.py
+++ b/src/kumquatseam/settings/_entities.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from kumquatseam.settings._fields import FieldFault, read_fields, setting
+from kumquatseam.settings._fields import InvalidFieldError, read_fields, setting
 
 ACTIVE = "active"
 DRAINING = "draining"
@@ -136,7 +136,7 @@
 
     :param kind: one of :data:`ENTITY_KINDS`.
     :param raw: text value by key.
-    :raises FieldFault: at the first key at fault.
+    :raises InvalidFieldError: at the first key at fault.
     """
     cls = ENTITY_KINDS[kind]
     entity = cls(name=name, **read_fields(cls, raw))
@@ -151,4 +151,4 @@
 
 def _check_url(key: str, url: str) -> None:
     if not url.startswith(("http://", "https://")):
-        raise FieldFault(key, "must start with http:// or https://")
+        raise InvalidFieldError(key, "must start with http:// or https://")
--- a/src/kumquatseam/settings/_fields.py
+++ b/src/kumquatseam/settings/_fields.py
@@ -3,7 +3,7 @@
 The INI loader and the operators' language both describe teams, models and
 upstreams as text values under keys. One reader serves both: it converts by
 each field's type, checks it by the field's metadata (see :func:`setting`),
-and raises :class:`FieldFault` naming the key.
+and raises :class:`InvalidFieldError` naming the key.
 """
 
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 
 
 @attrs.define(frozen=True, eq=False)
-class FieldFault(KumquatseamError):
+class InvalidFieldError(KumquatseamError):
     """A value given under a key is missing, malformed or unknown.
 
     :param key: the key at fault, ``""`` for the whole section.
@@ -65,23 +65,23 @@
     """Return constructor arguments for ``cls`` from text values.
 
     :param raw: text value by key.
-    :raises FieldFault: at the first unknown, missing or malformed key.
+    :raises InvalidFieldError: at the first unknown, missing or malformed key.
     """
     fields = field_keys(cls)
     for key in raw:
         if key not in fields:
-            raise FieldFault(key, "unknown key")
+            raise InvalidFieldError(key, "unknown key")
     values = {}
     for key, field in fields.items():
         text = raw.get(key, "").strip()
         if text:
             values[field.name] = _convert(key, field, text)
         elif field.default is attrs.NOTHING:
-            raise FieldFault(key, "missing")
+            raise InvalidFieldError(key, "missing")
     return values
 
 
-def write_fields(entity: object) -> dict[str, str]:
+def format_fields(entity: object) -> dict[str, str]:
     """Return the text values :func:`read_fields` would read ``entity`` from."""
     texts = {}
     for key, field in field_keys(type(entity)).items():
@@ -93,7 +93,7 @@
 def _convert(key: str, field: attrs.Attribute, text: str):
     if field.type is bool:
         if text.lower() not in _SWITCH_WORDS:
-            raise FieldFault(key, f"must be true or false: {text!r}")
+            raise InvalidFieldError(key, f"must be true or false: {text!r}")
         return _SWITCH_WORDS[text.lower()]
     if field.type not in (str, int, float):
         return tuple(name.strip() for name in text.split(",") if name.strip())
@@ -101,14 +101,14 @@
         value = field.type(text)
     except ValueError as error:
         reason = f"not a valid {field.type.__name__}: {text!r}"
-        raise FieldFault(key, reason) from error
+        raise InvalidFieldError(key, reason) from error
     if field.type is str:
         choices = field.metadata.get(_CHOICES)
         if choices and value not in choices:
-            raise FieldFault(key, f"must be one of {', '.join(choices)}")
+            raise InvalidFieldError(key, f"must be one of {', '.join(choices)}")
         return value
     if value < 0:
-        raise FieldFault(key, f"must not be negative: {text!r}")
+        raise InvalidFieldError(key, f"must not be negative: {text!r}")
     if value == 0 and field.metadata.get(_POSITIVE):
-        raise FieldFault(key, "must be positive")
+        raise InvalidFieldError(key, "must be positive")
     return value
--- a/src/kumquatseam/settings/_loading.py
+++ b/src/kumquatseam/settings/_loading.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 from kumquatseam.errors import SettingsError
-from kumquatseam.settings._configuration import Configuration, ReferenceFault
+from kumquatseam.settings._configuration import Configuration, InvalidReferenceError
 from kumquatseam.settings._entities import ENTITY_KINDS, build_entity
-from kumquatseam.settings._fields import FieldFault, read_fields
+from kumquatseam.settings._fields import InvalidFieldError, read_fields
 from kumquatseam.settings._schema import (
     AdmissionSettings,
     DaemonSettings,
@@ -115,7 +115,7 @@
     raw = dict(parser[name]) if parser.has_section(name) else {}
     try:
         return cls(**read_fields(cls, raw))
-    except FieldFault as fault:
+    except InvalidFieldError as fault:
         raise SettingsError(source, name, fault.key, fault.reason) from fault
 
 
@@ -127,12 +127,12 @@
             continue
         try:
             entity = build_entity(kind, name.strip(), dict(parser[section]))
-        except FieldFault as fault:
+        except InvalidFieldError as fault:
             raise SettingsError(source, section, fault.key, fault.reason) from fault
         entities.append((kind, entity))
-    configuration = Configuration.of(entities)
+    configuration = Configuration.from_entities(entities)
     try:
         configuration.check()
-    except ReferenceFault as fault:
+    except InvalidReferenceError as fault:
         raise SettingsError(source, fault.section, fault.key, fault.reason) from fault
     return configuration
--- a/src/kumquatseam/status.py
+++ b/src/kumquatseam/status.py
@@ -6,7 +6,7 @@
 import attrs
 
 from kumquatseam.fleet import LiveConfiguration
-from kumquatseam.metrics.figures import RequestFigures
+from kumquatseam.metrics.figures import RequestStatistics
 from kumquatseam.routing import Router
 
 #: the percentile of time to first token shown per priority class.
@@ -27,7 +27,7 @@
         self,
         live: LiveConfiguration,
         router: Router,
-        figures: RequestFigures,
+        figures: RequestStatistics,
         count_routers: Callable[[], int],
         read_control_bytes: Callable[[], int],
     ) -> None:
--- a/src/kumquatseam/wiring.py
+++ b/src/kumquatseam/wiring.py
@@ -46,8 +46,8 @@
 from kumquatseam.logs import part_logger
 from kumquatseam.logservice import HttpLogService
 from kumquatseam.loops import StepLoop
-from kumquatseam.metrics.figures import RequestFigures
-from kumquatseam.operators import AnswerSources, QueryAnswerer
+from kumquatseam.metrics.figures import RequestStatistics
+from kumquatseam.operators import QueryAnswerer, QuerySources
 from kumquatseam.peers import (
     DatagramLink,
     DatagramSocket,
@@ -105,7 +105,7 @@
         daemon = settings.daemon
         self._live = LiveConfiguration(settings.configuration)
         self._router = _build_router(daemon, policy_name, self._live)
-        self._figures = RequestFigures()
+        self._figures = RequestStatistics()
         self._refusals = RefusalLog()
         self._running = RunningRequests()
         self._log_service: HttpLogService | None = None
@@ -239,7 +239,7 @@
         settings = self._settings.fleet
         summaries = PeerSummaries(self._router, settings)
         membership.on_state(summaries.on_peer_state)
-        sources = AnswerSources(
+        sources = QuerySources(
             membership.name,
             self._live,
             self._router,
