--- a/features/programs/nng_churn.py
+++ b/features/programs/nng_churn.py
@@ -15,7 +15,7 @@
 import gevent  # noqa: E402
 
 from kumquatseam.codec import MessageCodec  # noqa: E402
-from kumquatseam.request_reply import ReplyServer, ask_once  # noqa: E402
+from kumquatseam.request_reply import ReplyServer, request_once  # noqa: E402
 
 ASK_TIMEOUT_S = 0.5
 #: greenlets that ask one other program at the same time.
@@ -38,7 +38,7 @@
         number = 0
         while time.monotonic() < end_s:
             number += 1
-            ask_once(f"tcp://127.0.0.1:{other}", CODEC, Ping(number), ASK_TIMEOUT_S)
+            request_once(f"tcp://127.0.0.1:{other}", CODEC, Ping(number), ASK_TIMEOUT_S)
 
     askers = [gevent.spawn(ask_again, other) for other in ports for _ in range(ASKERS)]
     gevent.joinall(askers)
--- a/features/steps/matrix_world.py
+++ b/features/steps/matrix_world.py
@@ -24,7 +24,7 @@
 from kumquatseam.fleet import LiveConfiguration
 from kumquatseam.idempotency import ClaimLedger
 from kumquatseam.routing import Router, build_policy
-from kumquatseam.services import ServiceAnswer, ServiceClient
+from kumquatseam.services import ServiceClient, ServiceResponse
 from kumquatseam.serving import (
     CompletionServer,
     RunningRequests,
@@ -156,7 +156,7 @@
         world.trigger.reach_step("connect", world, url)
         world.service_runs.append(call.request_id)
         world.trigger.reach_step("first_token", world, url)
-        return ServiceAnswer(200, b"done", None)
+        return ServiceResponse(200, b"done", None)
 
 
 class World:
--- a/src/kumquatseam/feeds/_feeds.py
+++ b/src/kumquatseam/feeds/_feeds.py
@@ -80,7 +80,9 @@
     def start(self) -> None:
         """Start following the topics."""
         heartbeat = StepLoop(
-            HEARTBEAT_INTERVAL_S, self.process_pauses.note_running, runs_at_once=True
+            HEARTBEAT_INTERVAL_S,
+            self.process_pauses.note_running,
+            starts_immediately=True,
         )
         self._parts = PartGroup("feeds", [heartbeat, *self._followers.values()])
         self._parts.start()
--- a/src/kumquatseam/fleet/_heartbeats.py
+++ b/src/kumquatseam/fleet/_heartbeats.py
@@ -92,7 +92,7 @@
             self._clients[member.address] = client
         self._membership.note_heartbeat_sent(member.name)
         timeout_s = self._interval_s() * REPLY_TIMEOUT_SHARE
-        reply = client.ask(message, timeout_s)
+        reply = client.request(message, timeout_s)
         if isinstance(reply, Heartbeat):
             self._on_heartbeat(reply)
 
--- a/src/kumquatseam/fleet/_peer_configuration.py
+++ b/src/kumquatseam/fleet/_peer_configuration.py
@@ -24,7 +24,7 @@
 )
 from kumquatseam.instances import InstanceList, InstanceListError
 from kumquatseam.logs import part_logger
-from kumquatseam.request_reply import ask_once
+from kumquatseam.request_reply import request_once
 
 _log = part_logger("config")
 
@@ -38,7 +38,7 @@
 
 def query_router(address: str, message: ControlMessage) -> ControlMessage | None:
     """Send ``message`` to the router at ``address`` and return its reply, if any."""
-    return ask_once(address, CONTROL_CODEC, message, QUERY_TIMEOUT_S)
+    return request_once(address, CONTROL_CODEC, message, QUERY_TIMEOUT_S)
 
 
 class PeerConfigurationSync:
--- a/src/kumquatseam/gateway/_server.py
+++ b/src/kumquatseam/gateway/_server.py
@@ -17,7 +17,7 @@
     RequestReader,
 )
 from kumquatseam.logs import part_logger
-from kumquatseam.pools import silent_connection_options
+from kumquatseam.pools import dead_peer_socket_options
 
 _log = part_logger("server")
 
@@ -124,7 +124,7 @@
             gevent.spawn(self._serve_connection, connection)
 
     def _serve_connection(self, connection) -> None:
-        for option in silent_connection_options():
+        for option in dead_peer_socket_options():
             connection.setsockopt(*option)
         greenlet = gevent.getcurrent()
         reader = RequestReader(connection, self._read_limits())
--- a/src/kumquatseam/http1/_connection.py
+++ b/src/kumquatseam/http1/_connection.py
@@ -11,7 +11,7 @@
 
 from kumquatseam.http1._errors import ConnectFailedError, ResponseInterruptedError
 from kumquatseam.http1._messages import Headers, ResponseHead
-from kumquatseam.pools import silent_connection_options
+from kumquatseam.pools import dead_peer_socket_options
 
 _READ_BYTES = 65_536
 #: late responses to earlier requests that may be skipped before the expected one.
@@ -29,7 +29,7 @@
     except (OSError, ValueError) as error:
         raise ConnectFailedError(address, repr(error)) from error
     opened.settimeout(None)
-    for option in silent_connection_options():
+    for option in dead_peer_socket_options():
         opened.setsockopt(*option)
     return UpstreamConnection(address, opened)
 
--- a/src/kumquatseam/instances/_registration.py
+++ b/src/kumquatseam/instances/_registration.py
@@ -22,7 +22,9 @@
     def __init__(self, instances: InstanceList, instance: Instance) -> None:
         self._instances = instances
         self._instance = instance
-        self._loop = StepLoop(HEARTBEAT_INTERVAL_S, self._register, runs_at_once=True)
+        self._loop = StepLoop(
+            HEARTBEAT_INTERVAL_S, self._register, starts_immediately=True
+        )
 
     def start(self) -> None:
         """Start registering the instance."""
--- a/src/kumquatseam/instances/_watcher.py
+++ b/src/kumquatseam/instances/_watcher.py
@@ -30,7 +30,7 @@
         self._instances = instances
         self._handler = handler
         self._is_reachable = True
-        self._loop = StepLoop(interval_s, self._poll, runs_at_once=True)
+        self._loop = StepLoop(interval_s, self._poll, starts_immediately=True)
 
     def start(self) -> None:
         """Start polling."""
--- a/src/kumquatseam/loops.py
+++ b/src/kumquatseam/loops.py
@@ -43,19 +43,19 @@
     :param interval_s: seconds between two rounds, or what returns them.
     :param steps: called in order each round; a failure is logged and the loop
         goes on, since nobody would notice that it had ended.
-    :param runs_at_once: begin with a round instead of a pause.
+    :param starts_immediately: begin with a round instead of a pause.
     """
 
     def __init__(
         self,
         interval_s: float | Callable[[], float],
         *steps: Callable[[], None],
-        runs_at_once: bool = False,
+        starts_immediately: bool = False,
     ) -> None:
         super().__init__()
         self._interval_s = interval_s if callable(interval_s) else lambda: interval_s
         self._steps = steps
-        self._runs_at_once = runs_at_once
+        self._runs_at_once = starts_immediately
 
     def _run(self) -> None:
         if not self._runs_at_once:
@@ -73,7 +73,7 @@
             _log.exception("A step failed; going on.")
 
 
-class DueLoop(BackgroundTask):
+class WakeableLoop(BackgroundTask):
     """Runs a step when it is told that there is something to do.
 
     :param step: does what is to do; returns whether to try again after a pause. A
--- a/src/kumquatseam/operators/_console.py
+++ b/src/kumquatseam/operators/_console.py
@@ -22,7 +22,7 @@
 from kumquatseam.operators._parsing import LanguageError, parse
 from kumquatseam.operators._statements import Commands, Query
 from kumquatseam.operators._subjects import SUBJECT_COLUMNS
-from kumquatseam.request_reply import ask_once
+from kumquatseam.request_reply import request_once
 from kumquatseam.settings import Configuration
 
 #: routers queried in parallel.
@@ -189,5 +189,5 @@
 
     def _query_router(self, address: str, text: str) -> QueryAnswer | None:
         request = QueryRequest(text)
-        reply = ask_once(address, CONTROL_CODEC, request, self._timeout_s)
+        reply = request_once(address, CONTROL_CODEC, request, self._timeout_s)
         return reply if isinstance(reply, QueryAnswer) else None
--- a/src/kumquatseam/peers/_queries.py
+++ b/src/kumquatseam/peers/_queries.py
@@ -7,7 +7,7 @@
 from kumquatseam.errors import CodecError
 from kumquatseam.peers._bus import PeerBus
 from kumquatseam.peers._messages import InstanceRecord
-from kumquatseam.request_reply import ReplyServer, ask_once
+from kumquatseam.request_reply import ReplyServer, request_once
 
 #: timeout of one query; the other instance replies from memory.
 QUERY_TIMEOUT_S = 0.5
@@ -30,7 +30,7 @@
         bus: PeerBus,
         kinds: Mapping[str, type],
         seeds: tuple[str, ...] = (),
-        send_query: Callable = ask_once,
+        send_query: Callable = request_once,
     ) -> None:
         self._bus = bus
         self._codec = MessageCodec("peer query", kinds, is_compact=True)
--- a/src/kumquatseam/pools.py
+++ b/src/kumquatseam/pools.py
@@ -47,7 +47,7 @@
             pool = urllib3.PoolManager(
                 maxsize=IDLE_CONNECTIONS,
                 retries=False,
-                socket_options=silent_connection_options(),
+                socket_options=dead_peer_socket_options(),
             )
             self._pools[url] = pool
         return pool
@@ -67,7 +67,7 @@
             self.drop(url)
 
 
-def silent_connection_options() -> list[tuple[int, int, int]]:
+def dead_peer_socket_options() -> list[tuple[int, int, int]]:
     """Return socket options that end connections no one acknowledges.
 
     urllib3's own come first: they send small writes at once.
--- a/src/kumquatseam/quarantine/_publisher.py
+++ b/src/kumquatseam/quarantine/_publisher.py
@@ -5,7 +5,7 @@
 
 from kumquatseam.logs import part_logger
 from kumquatseam.logservice import LogService, LogServiceError
-from kumquatseam.loops import DueLoop
+from kumquatseam.loops import WakeableLoop
 from kumquatseam.peers import DatagramLink, PeerBus
 from kumquatseam.quarantine._list import SuspectList
 from kumquatseam.quarantine._messages import RECORD_CODEC, CrashNotice, CrashRecord
@@ -98,7 +98,7 @@
         self._log_service = log
         self._suspects = suspects
         self._unwritten: set[str] = set()
-        self.loop = DueLoop(self.step, RETRY_PAUSE_S)
+        self.loop = WakeableLoop(self.step, RETRY_PAUSE_S)
 
     def write(self, fingerprint: str) -> None:
         """Schedule a write of a request's record, and return at once.
--- a/src/kumquatseam/request_reply.py
+++ b/src/kumquatseam/request_reply.py
@@ -111,7 +111,7 @@
         return True
 
 
-def ask_once(
+def request_once(
     address: str, codec: MessageCodec, message: object, timeout_s: float
 ) -> object | None:
     """Ask the process at ``address`` once; ``None`` if it does not reply in time."""
--- a/src/kumquatseam/services/_client.py
+++ b/src/kumquatseam/services/_client.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class ServiceAnswer:
+class ServiceResponse:
     """A service's whole answer.
 
     :param status: HTTP status.
@@ -48,7 +48,7 @@
     """Calls plain services."""
 
     @abc.abstractmethod
-    def call(self, url: str, call: ServiceCall) -> ServiceAnswer:
+    def call(self, url: str, call: ServiceCall) -> ServiceResponse:
         """Send ``call`` to the replica at ``url`` and return its whole answer.
 
         :raises UpstreamError: ``started=False`` only if it provably never ran.
@@ -73,7 +73,7 @@
         """Close every pooled connection."""
         self._pools.close()
 
-    def call(self, url: str, call: ServiceCall) -> ServiceAnswer:
+    def call(self, url: str, call: ServiceCall) -> ServiceResponse:
         headers = {"X-Request-Id": call.request_id, "X-Team": call.team}
         if call.content_type:
             headers["Content-Type"] = call.content_type
@@ -97,4 +97,4 @@
         if NOT_EXECUTED_HEADER in response.headers:
             raise UpstreamError(url, False, f"HTTP {response.status}, not run")
         content_type = response.headers.get("Content-Type")
-        return ServiceAnswer(response.status, response.data, content_type)
+        return ServiceResponse(response.status, response.data, content_type)
--- a/src/kumquatseam/serving/_services.py
+++ b/src/kumquatseam/serving/_services.py
@@ -22,7 +22,7 @@
     fingerprint,
 )
 from kumquatseam.routing import FailureCooldowns
-from kumquatseam.services import ServiceAnswer, ServiceCall, ServiceClient
+from kumquatseam.services import ServiceCall, ServiceClient, ServiceResponse
 from kumquatseam.serving._parts import ServingParts
 from kumquatseam.serving._running import RunningRequest
 from kumquatseam.settings import ServiceSettings, TeamSettings
@@ -55,7 +55,7 @@
         service: ServiceSettings,
         call: ServiceCall,
         idempotency_key: str | None,
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Return the whole answer to ``call``.
 
         :raises KumquatseamError: the typed failure that ended it;
@@ -78,7 +78,7 @@
         service: ServiceSettings,
         call: ServiceCall,
         repeatable: bool,
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         asked = fingerprint(
             team.name, call.method.encode(), service.name, call.path.encode(), call.body
         )
@@ -99,7 +99,7 @@
         call: ServiceCall,
         repeatable: bool,
         permission: RunPermission,
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         started = False
         excluded: set[str] = set()
         for attempt in itertools.count(1):
