--- a/features/shutdown_and_faults.feature
+++ b/features/shutdown_and_faults.feature
@@ -1,10 +1,10 @@
-Feature: Graceful shutdown, broken streams and true refusals
+Feature: Graceful shutdown, interrupted streams and accurate refusals
   Faults injected: SIGTERM while streams run, an engine killed in the middle
-  of an answer, answers labelled with another request's id, every engine down.
+  of a response, responses labelled with another request's id, all engines down.
 
-  Scenario: A graceful shutdown cuts off no request
+  Scenario: A graceful shutdown completes all running requests
     Given a router before 1 stand-in engine that decodes a token every 40 ms
-    When 6 callers stream 20-token answers at once
+    When 6 callers stream 20-token responses at once
     And the router gets SIGTERM while they stream
     Then all 6 streams arrive complete and end with [DONE]
     And the router exits with code 0
@@ -15,13 +15,13 @@
     And the router gets SIGTERM
     Then the router exits with code 0 before its drain timeout of 5 s
 
-  Scenario: An answer broken by an engine crash is reported, never cut silently
+  Scenario: A response interrupted by an engine crash ends with an error
     Given a router before 1 stand-in engine that decodes a token every 40 ms
-    When a caller streams a 40-token answer and the engine is killed half-way
+    When a caller streams a 40-token response and the engine is killed half-way
     Then the stream ends with an error that says the work may have run
     And the stream has no [DONE]
 
-  Scenario: A crossed answer never reaches the wrong caller
+  Scenario: A response for another request never reaches the caller
     Given a router before 1 stand-in engine that crosses its answers
     When team "alpha" streams a 64-token prompt asking for 4 tokens
     Then the caller got status 502
@@ -29,9 +29,9 @@
     And the stream has no [DONE]
     And the stream carries no token
 
-  Scenario: A refusal that says "not run" is true
+  Scenario: A request refused as "not run" was not run
     Given a router before 1 stand-in engine
     When the engine crashes and stays down
     And team "alpha" sends a 64-token prompt
     Then the caller got status 503
-    And the refusal says the work was not run and when to come back
+    And the refusal says that the request was not run and has a Retry-After header
--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that inject faults: SIGTERM mid-stream, engine crashes, engines down."""
+"""Steps that inject faults: SIGTERM during streams, engine crashes and outages."""
 
 import json
 import threading
@@ -9,8 +9,8 @@
 from behave import then, when
 from fleet_steps import post_completion, prompt_of
 
-#: how long after the streams start the fault is injected.
-FAULT_AFTER_S = 0.3
+#: delay between the start of the streams and the fault.
+FAULT_DELAY_S = 0.3
 
 
 def stream_events(context, max_tokens: int, on_first_token=None) -> list[str]:
@@ -24,7 +24,7 @@
     return events
 
 
-@when("{count:d} callers stream {tokens:d}-token answers at once")
+@when("{count:d} callers stream {tokens:d}-token responses at once")
 def step_parallel_streams(context, count, tokens):
     context.pool = ThreadPoolExecutor(count)
     context.futures = [
@@ -35,7 +35,7 @@
 
 @when("the router gets SIGTERM while they stream")
 def step_sigterm(context):
-    time.sleep(FAULT_AFTER_S)
+    time.sleep(FAULT_DELAY_S)
     context.fleet.routers[0].program.terminate()
 
 
@@ -65,7 +65,7 @@
     assert context.fleet.routers[0].program.wait(timeout_s=20) == code
 
 
-@when("a caller streams a {tokens:d}-token answer and the engine is killed half-way")
+@when("a caller streams a {tokens:d}-token response and the engine is killed half-way")
 def step_kill_mid_stream(context, tokens):
     engine = context.fleet.engines[0].program
     half_s = tokens / 2 * 0.04
@@ -98,7 +98,7 @@
     context.fleet.engines[0].program.kill()
 
 
-@then("the refusal says the work was not run and when to come back")
+@then("the refusal says that the request was not run and has a Retry-After header")
 def step_not_run(context):
     assert context.answer["error"]["run"] == "not_run", context.answer
     assert context.retry_after is not None
--- a/features/steps/router_crash_steps.py
+++ b/features/steps/router_crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that crash back ends of the product's own interface."""
+"""Steps for requests to the router's own interface that crash back ends."""
 
 import contextlib
 import json
@@ -13,19 +13,19 @@
 from kumquatseam.bench._processes import ProgramNotReadyError
 
 CRASHING = "crashing"
-#: pause between two crashing requests.
-SEND_EVERY_S = 0.4
-#: how often back ends that crashed are looked for.
-LOOK_EVERY_S = 0.05
-#: what a supervisor waits before it starts one again.
-RESTART_S = 0.4
+#: interval between two crashing requests, in seconds.
+SEND_INTERVAL_S = 0.4
+#: interval at which the supervisor checks for crashed back ends, in seconds.
+POLL_INTERVAL_S = 0.05
+#: delay before the supervisor restarts a crashed back end, in seconds.
+RESTART_DELAY_S = 0.4
 
 
 class Supervisor(threading.Thread):
-    """Starts back ends again that crashed, and counts them.
+    """Restarts crashed back ends and counts the crashes.
 
-    :param list_programs: returns every program watched, by its name.
-    :param restart: starts the one of a name again.
+    :param list_programs: returns all supervised programs by name.
+    :param restart: restarts the program with the given name.
     """
 
     def __init__(self, list_programs, restart):
@@ -37,20 +37,22 @@
         self.crashes = 0
 
     def run(self):
-        while not self._is_closing.wait(LOOK_EVERY_S):
+        while not self._is_closing.wait(POLL_INTERVAL_S):
             for name, program in self._list_programs().items():
-                under_way = self._restarts.get(name)
-                is_starting = under_way is not None and under_way.is_alive()
+                restart_thread = self._restarts.get(name)
+                is_starting = restart_thread is not None and restart_thread.is_alive()
                 if program.has_ended() and not is_starting:
                     self.crashes += 1
-                    thread = threading.Thread(target=self._start_again, args=(name,))
+                    thread = threading.Thread(
+                        target=self._restart_after_delay, args=(name,)
+                    )
                     self._restarts[name] = thread
                     thread.start()
 
-    def _start_again(self, name):
-        self._is_closing.wait(RESTART_S)
+    def _restart_after_delay(self, name):
+        self._is_closing.wait(RESTART_DELAY_S)
         if not self._is_closing.is_set():
-            # One that crashes again before it is ready is seen to have ended.
+            # A program that crashes before it is ready is detected by the next check.
             with contextlib.suppress(ProgramNotReadyError):
                 self._restart(name)
 
@@ -75,33 +77,33 @@
 
     context.supervisor = Supervisor(list_programs, fleet.restart_engine)
     context.supervisor.start()
-    context.told = []
+    context.results = []
 
 
 @when("routers are sent that prompt {count:d} times, each in turn")
 def step_prompts(context, count):
     for number in range(count):
         router = number % len(context.fleet.routers)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         prompt = f"{CRASHING} {prompt_of(8)}"
         response = post_completion(context, "key-alpha", prompt, False, 4, router)
         body = json.loads(response.read())
-        told = CallResult(began_s, response.status, time.monotonic() - began_s)
-        context.told.append((told, body))
-        time.sleep(max(0.0, began_s + SEND_EVERY_S - time.monotonic()))
+        result = CallResult(started_s, response.status, time.monotonic() - started_s)
+        context.results.append((result, body))
+        time.sleep(max(0.0, started_s + SEND_INTERVAL_S - time.monotonic()))
 
 
 @then("at most {most:d} of them crashed")
 def step_few_crashes(context, most):
-    assert context.supervisor.crashes >= 2, context.told
+    assert context.supervisor.crashes >= 2, context.results
     assert context.supervisor.crashes <= most, context.supervisor.crashes
 
 
 @then("the last {count:d} callers were told at once that it was not run")
-def step_told(context, count):
-    for told, body in context.told[-count:]:
-        assert told.status == 503, (told, body)
-        assert told.took_s < 0.25, told
+def step_refused(context, count):
+    for result, body in context.results[-count:]:
+        assert result.status == 503, (result, body)
+        assert result.took_s < 0.25, result
         assert body["error"]["run"] == "not_run", body
 
 
@@ -139,22 +141,22 @@
 
     context.supervisor = Supervisor(list_programs, restart)
     context.supervisor.start()
-    context.told = []
+    context.results = []
 
 
 @when("routers are sent that call {count:d} times, each in turn")
 def step_calls(context, count):
     for number in range(count):
         router = context.fleet.routers[number % len(context.fleet.routers)]
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         response = HTTP.request(
             "GET",
             f"{router.url}/services/portal/{CRASHING}",
             headers={"Authorization": "Bearer key-alpha"},
         )
-        told = CallResult(began_s, response.status, time.monotonic() - began_s)
-        context.told.append((told, json.loads(response.data)))
-        time.sleep(max(0.0, began_s + SEND_EVERY_S - time.monotonic()))
+        result = CallResult(started_s, response.status, time.monotonic() - started_s)
+        context.results.append((result, json.loads(response.data)))
+        time.sleep(max(0.0, started_s + SEND_INTERVAL_S - time.monotonic()))
 
 
 @then("other calls are answered")
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests under limits, faults and marks."""
+"""Steps for limits, retries and idempotency keys under faults."""
 
 import contextlib
 import json
@@ -47,10 +47,12 @@
     )
 
 
-@when("a caller streams a {tokens:d}-token answer and its engine is killed half-way")
+@when("a caller streams a {tokens:d}-token response and its engine is killed half-way")
 def step_kill_serving_engine(context, tokens):
     def kill():
-        running = [e for i, e in enumerate(context.fleet.engines) if serves(context, i)]
+        running = [
+            e for i, e in enumerate(context.fleet.engines) if has_served(context, i)
+        ]
         running[0].program.kill()
 
     def kill_later():
@@ -60,11 +62,11 @@
     context.events = stream_events(context, tokens, on_first_token=kill_later)
 
 
-def serves(context, index: int) -> bool:
+def has_served(context, index: int) -> bool:
     return engine_stats(context, index)["requests"] > 0
 
 
-@then("the stream is whole and the same as an undisturbed answer")
+@then("the stream is complete and equals an uninterrupted response")
 def step_same(context):
     assert context.events[-1] == "[DONE]", context.events[-1]
     chunks = [json.loads(event) for event in context.events[:-1]]
@@ -74,7 +76,7 @@
     assert context.answer["choices"][0]["text"] == text
 
 
-@then("all {count:d} were answered whole by {engine}")
+@then("all {count:d} got complete responses from {engine}")
 def step_by_engine(context, count, engine):
     lines = context.fleet.routers[0].log_lines("callers")
     answered = [line for line in lines if " answered " in line]
@@ -82,19 +84,19 @@
     assert all(f" engine={engine} " in line for line in answered), answered
 
 
-@when('team "{team}" sends a marked request with key "{key}" to router {index:d}')
-def step_marked(context, team, key, index):
+@when('team "{team}" sends a request with idempotency key "{key}" to router {index:d}')
+def step_idempotent(context, team, key, index):
     headers = {"Idempotency-Key": key}
     send(context, f"key-{team}", prompt_of(32), False, router=index, **headers)
 
 
-@when('team "{team}" soon gets a marked request with key "{key}" through')
-def step_marked_through(context, team, key):
-    def through():
-        step_marked(context, team, key, 0)
+@when('team "{team}" retries a request with idempotency key "{key}" until it succeeds')
+def step_idempotent_until_success(context, team, key):
+    def succeeds():
+        step_idempotent(context, team, key, 0)
         return context.status == 200
 
-    wait_for(through, "the marked request to run")
+    wait_for(succeeds, "the request with an idempotency key to succeed")
 
 
 @when("the log service comes back")
@@ -113,9 +115,10 @@
     context.answer = json.loads(response.data)
 
 
-@when("the service loses the answer to a {method}")
+@when("the service loses the response to a {method}")
 def step_lose_service_answer(context, method):
-    # One replica loses an answer; the turn decides which one is asked first.
+    # For a GET only one replica loses a response; the round-robin order decides which
+    # replica is called first.
     for url in context.fleet.services:
         HTTP.request("PUT", f"{url}/standin/faults", body=b'{"lose_answers": 1}')
         if method == "GET":
@@ -125,8 +128,8 @@
         HTTP.request("PUT", f"{url}/standin/faults", body=b'{"lose_answers": 0}')
 
 
-@then("the caller is told that the call may have run")
-def step_told_may_have_run(context):
+@then("the caller gets an error that says the call may have run")
+def step_may_have_run(context):
     assert context.status == 502, context.status
     assert context.answer["error"]["run"] == "may_have_run", context.answer
 
@@ -163,7 +166,7 @@
     context.answers = send_at_once(context, wanted)
 
 
-@then("every checklist request was answered whole")
+@then("every checklist request got a complete response")
 def step_checklist_answered(context):
     for priority, answer in zip(context.priorities, context.answers, strict=True):
         if priority == "checklist":
@@ -171,7 +174,7 @@
             assert len(answer[1]["choices"][0]["text"].split()) == 8
 
 
-@then("some notes were refused as not run with a time to come back")
+@then("some notes requests were refused as not run, with a retry delay")
 def step_notes_shed(context):
     refused = [answer for answer in context.answers if answer[0] != 200]
     assert refused
@@ -194,8 +197,8 @@
 
 
 @then(
-    '{count:d} of "{team}" were refused with status {status:d} as not run and all '
-    "others answered"
+    '{count:d} requests of "{team}" were refused with status {status:d} as not run and '
+    "all others succeeded"
 )
 def step_team_refused(context, count, team, status):
     pairs = list(zip(context.teams, context.answers, strict=True))
@@ -206,7 +209,7 @@
 
 
 class Relay:
-    """Forwards TCP connections; the open ones can be made silent for good."""
+    """TCP relay that can stop forwarding on its open connections for good."""
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
@@ -215,8 +218,8 @@
         self.port = self._listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def silence(self) -> None:
-        """Keep the open connections open but forward nothing on them."""
+    def stop_forwarding(self) -> None:
+        """Keep the current connections open, but forward no more data on them."""
         self._epoch += 1
 
     def _accept(self) -> None:
@@ -230,7 +233,7 @@
                 ).start()
 
     def _forward(self, source, sink, epoch: int) -> None:
-        # The other direction closes this one's ends when its own have ended.
+        # The thread of the other direction may close these sockets at any time.
         with contextlib.suppress(OSError):
             while data := source.recv(65536):
                 if epoch == self._epoch:
@@ -248,11 +251,11 @@
     context.console.apply(f'alter upstream engine-0 set url = "{url}"', "tester", 5.0)
 
 
-@when("{count:d} requests open {same:d} connections, which then go silent for good")
+@when("{count:d} requests open {same:d} connections, which then stop carrying data")
 def step_go_silent(context, count, same):
     answers = send_at_once(context, [("alpha", "checklist")] * count)
     assert [answer[0] for answer in answers] == [200] * count, answers
-    context.relay.silence()
+    context.relay.stop_forwarding()
 
 
 @when('team "{team}" sends one request and after it {count:d} at once')
--- a/features/thin_path.feature
+++ b/features/thin_path.feature
@@ -1,9 +1,9 @@
-Feature: The whole path, from caller through the router to an engine and back
-  Real processes on loopback, real HTTP. Faults injected: engine restart
-  (crash, then back empty), engine freeze, router restart, new weights,
-  an unknown key, a bad setting.
+Feature: End-to-end requests from a caller through the router to an engine
+  Runs real processes and HTTP on loopback. Faults injected: engine restart with an
+  empty cache, engine freeze, router restart, new weights, an unknown API key,
+  invalid settings.
 
-  Scenario: A streamed answer arrives complete and in order
+  Scenario: A streamed response arrives complete and in order
     Given a router before 1 stand-in engine
     When team "alpha" streams a 64-token prompt asking for 12 tokens
     Then the stream carries 12 tokens and ends with [DONE]
@@ -18,7 +18,7 @@
     Then by the engine's accounting request 2 was served 0 cached tokens
     And by the engine's accounting request 3 was served 64 cached tokens
 
-  Scenario: An engine that restarts is not credited with its old cache
+  Scenario: The index of an engine is cleared when the engine restarts
     Given a router before 1 stand-in engine
     When team "alpha" sends a 64-token prompt
     Then the router soon indexes 4 blocks of the engine
@@ -28,20 +28,20 @@
     Then the router logged matched_blocks=0/4 for the last request
     And by the engine's accounting request 1 was served 0 cached tokens
 
-  Scenario: A router that restarts serves at once
+  Scenario: A restarted router serves requests at once
     Given a router before 1 stand-in engine
     When team "alpha" sends a 64-token prompt
     And the router is killed and started again
     And team "alpha" sends the same prompt
     Then the caller got status 200
 
-  Scenario: An unknown key gets 401 and the engine sees nothing
+  Scenario: A request with an unknown key gets 401 and is not sent to the engine
     Given a router before 1 stand-in engine
     When a caller with the key "no-such-key" sends a 64-token prompt
     Then the caller got status 401
     And the engine has seen 0 requests
 
-  Scenario Outline: A bad setting stops the daemon with its typed error
+  Scenario Outline: On an invalid setting the daemon exits with a typed error
     Given a settings file whose [<section>] <key> is "<value>"
     When the daemon starts with that file
     Then it exits with code 2 naming the file, [<section>] and <key>
@@ -61,7 +61,7 @@
     And team "alpha" sends the same prompt
     Then by the engine's accounting request 2 was served 0 cached tokens
 
-  Scenario: A frozen engine gets no new work once it is silent
+  Scenario: A frozen engine gets no new requests after its reports stop
     Given a router before 2 stand-in engines
     When engine 1 freezes
     And the router has not heard from engine 1 for 3.5 seconds
--- a/src/kumquatseam/callers/__init__.py
+++ b/src/kumquatseam/callers/__init__.py
@@ -1,7 +1,8 @@
-"""The interface callers use: OpenAI-compatible completions over HTTP.
+"""The HTTP interface for callers: OpenAI-compatible completions.
 
 :class:`CallerInterface` serves ``POST /v1/completions`` and
-``POST /v1/chat/completions``, streamed as server-sent events or whole.
+``POST /v1/chat/completions``, streamed as server-sent events or in one body,
+and calls to plain services.
 """
 
 from kumquatseam.callers._calls import (
--- a/src/kumquatseam/callers/_calls.py
+++ b/src/kumquatseam/callers/_calls.py
@@ -1,4 +1,4 @@
-"""Reading a caller's HTTP request into a typed call."""
+"""Parsing and validation of callers' HTTP requests."""
 
 import json
 
@@ -15,17 +15,17 @@
 
 @attrs.frozen
 class CompletionCall:
-    """A caller's completion request, checked.
+    """A validated completion request.
 
     :param team: the team its API key belongs to.
-    :param model: the model asked for.
+    :param model: the requested model.
     :param prompt: the prompt text (chat messages joined, see
         :func:`chat_prompt`).
-    :param max_tokens: tokens to generate at most.
-    :param stream: answer as server-sent events.
+    :param max_tokens: maximum number of tokens to generate.
+    :param stream: stream the response as server-sent events.
     :param include_usage: send a usage chunk at the end of a stream.
     :param chat: ``True`` for ``/v1/chat/completions``.
-    :param priority: the class asked for, or the team's default.
+    :param priority: the requested priority class, or the team's default.
     :param idempotency_key: the caller's key, or ``None``.
     """
 
@@ -59,14 +59,14 @@
 def read_call(
     configuration: Configuration, headers, body: bytes, chat: bool
 ) -> CompletionCall:
-    """Check a request's headers and body.
+    """Validate a completion request's headers and body.
 
-    :param configuration: the configuration in force.
+    :param configuration: the active configuration.
     :param headers: the HTTP headers (case-insensitive mapping).
     :param body: the raw JSON body.
     :param chat: whether this is the chat endpoint.
-    :returns: the checked call.
-    :raises CallerError: 401 for an unknown key, 400 or 404 for a bad body.
+    :returns: the validated call.
+    :raises CallerError: 401 for an unknown key, 400 or 404 for an invalid body.
     """
     team = read_team(configuration, headers)
     try:
@@ -77,7 +77,7 @@
         raise CallerError(400, "invalid_request_error", "body must be a JSON object")
     model = data.get("model")
     if model not in team.models:
-        raise CallerError(404, "model_not_found", f"model {model!r} is not open to you")
+        raise CallerError(404, "model_not_found", f"no model {model!r} for your team")
     prompt = chat_prompt(data.get("messages") or []) if chat else data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
         raise CallerError(
@@ -105,7 +105,7 @@
 
 
 def read_team(configuration: Configuration, headers) -> TeamSettings:
-    """Return the team whose API key a request carries.
+    """Return the team that owns the API key of a request.
 
     :raises CallerError: 401 for an unknown key.
     """
--- a/src/kumquatseam/callers/_interface.py
+++ b/src/kumquatseam/callers/_interface.py
@@ -15,18 +15,18 @@
     read_team,
 )
 from kumquatseam.callers._refusals import (
-    caller_fault_response,
+    caller_error_response,
     failure_body,
     failure_response,
 )
 from kumquatseam.callers._server import DrainingServer
 from kumquatseam.callers._shapes import (
     SSE_DONE,
+    completion_body,
     sse_event,
     stream_chunk,
     usage_body,
     usage_chunk,
-    whole_answer,
 )
 from kumquatseam.engines import EngineChunk
 from kumquatseam.errors import CallerError, KumquatseamError
@@ -35,9 +35,9 @@
 from kumquatseam.metrics.figures import RequestStatistics
 from kumquatseam.services import ServiceCall
 from kumquatseam.serving import (
-    AnswerOutcome,
     Completion,
-    CompletionAnswer,
+    CompletionOutcome,
+    CompletionResponse,
     CompletionServer,
     RefusalLog,
     ServiceServer,
@@ -49,14 +49,14 @@
 
 
 class CallerInterface:
-    """Serves callers over HTTP; what is done with a call lies in ``serving``.
+    """HTTP front end; the requests themselves are processed by ``serving``.
 
     :param daemon: the daemon's settings.
-    :param live: the configuration in force.
+    :param live: the active configuration.
     :param completions: serves completions.
     :param services: serves calls to plain services.
-    :param refusals: told of every refusal.
-    :param figures: records the users' measures.
+    :param refusals: records every refusal.
+    :param figures: records request metrics.
     :param read_status: returns the ``/kumquatseam/status`` object.
     """
 
@@ -80,14 +80,16 @@
         self._instance = uuid.uuid4().hex[:8]
         self._server: DrainingServer | None = None
         self.app = bottle.Bottle()
-        self.app.post("/v1/completions", callback=lambda: self._complete(chat=False))
         self.app.post(
-            "/v1/chat/completions", callback=lambda: self._complete(chat=True)
+            "/v1/completions", callback=lambda: self._serve_completion(chat=False)
+        )
+        self.app.post(
+            "/v1/chat/completions", callback=lambda: self._serve_completion(chat=True)
         )
         self.app.route(
             "/services/<name>/<path:path>",
             method=_SERVICE_METHODS,
-            callback=self._call_service,
+            callback=self._serve_service_call,
         )
         self.app.get("/kumquatseam/status", callback=read_status)
         self.app.get("/health", callback=lambda: {"status": "ok"})
@@ -99,15 +101,15 @@
         return f"http://{host}:{port}"
 
     def start(self) -> None:
-        """Begin accepting callers."""
+        """Start accepting connections."""
         self._server = DrainingServer(
             (self._daemon.listen_host, self._daemon.listen_port), self.app
         )
         self._server.start()
-        _log.info("listening on {}", self.address)
+        _log.info("Listening on {}.", self.address)
 
     def close(self) -> None:
-        """Stop accepting, let running requests finish, then stop."""
+        """Stop accepting connections and drain running requests."""
         if self._server is None:
             return
         _log.info(
@@ -118,7 +120,7 @@
         self._server = None
         _log.info("Stopped.")
 
-    def _complete(self, chat: bool):
+    def _serve_completion(self, chat: bool):
         started_s = time.monotonic()
         request_id = f"cmpl-{self._instance}-{next(self._ids)}"
         request = bottle.request
@@ -127,7 +129,7 @@
                 self._live.current, request.headers, request.body.read(), chat
             )
         except CallerError as error:
-            return self._refuse_caller(request_id, error)
+            return self._reject_call(request_id, error)
         _log.info(
             "request={} team={} model={} priority={} idempotency_key={} stream={}",
             request_id,
@@ -137,7 +139,7 @@
             call.idempotency_key,
             call.stream,
         )
-        answer = self._completions.serve(
+        response = self._completions.serve(
             Completion(
                 request_id=request_id,
                 team=call.team,
@@ -148,52 +150,54 @@
                 idempotency_key=call.idempotency_key,
             )
         )
-        pieces = iter(answer)
+        chunks = iter(response)
         try:
-            first = next(pieces)
+            first = next(chunks)
         except KumquatseamError as error:
             return self._refuse(request_id, call.team.name, call.model, error)
         self._figures.record_ttft(time.monotonic() - started_s, call.priority.name)
         bottle.response.set_header("X-Request-Id", request_id)
-        bottle.response.set_header("X-Kumquatseam-Upstream", answer.upstream)
-        rest = itertools.chain([first], pieces)
+        bottle.response.set_header("X-Kumquatseam-Upstream", response.upstream)
+        rest = itertools.chain([first], chunks)
         if not call.stream:
-            return self._whole(call, request_id, rest, answer)
+            return self._complete_response(call, request_id, rest, response)
         bottle.response.content_type = "text/event-stream"
         bottle.response.set_header("Cache-Control", "no-cache")
-        return _ClosingStream(self._stream(call, request_id, rest, answer), answer)
+        return _ClosingStream(self._stream(call, request_id, rest, response), response)
 
-    def _stream(self, call: CompletionCall, request_id: str, pieces, answer):
-        """Yield server-sent events in the engine's order."""
+    def _stream(self, call: CompletionCall, request_id: str, chunks, response):
+        """Yield server-sent events in the order of the engine's chunks."""
         first = True
         try:
-            for chunk in pieces:
+            for chunk in chunks:
                 yield sse_event(stream_chunk(call, request_id, chunk, first))
                 first = False
         except KumquatseamError as error:
-            _log.warning("request={} broke: {}", request_id, error)
+            _log.warning("request={} response interrupted: {}", request_id, error)
             yield sse_event(failure_body(error))
             return
-        usage = answer.outcome.usage
+        usage = response.outcome.usage
         if usage is not None and call.include_usage:
             yield sse_event(usage_chunk(call, request_id, usage))
         yield SSE_DONE
-        self._record(request_id, answer.outcome)
+        self._record(request_id, response.outcome)
 
-    def _whole(self, call: CompletionCall, request_id: str, pieces, answer):
-        """Return the whole answer in one body."""
+    def _complete_response(
+        self, call: CompletionCall, request_id: str, chunks, response
+    ):
+        """Return the complete response in one body."""
         try:
-            chunks: list[EngineChunk] = list(pieces)
+            received: list[EngineChunk] = list(chunks)
         except KumquatseamError as error:
             return self._refuse(request_id, call.team.name, call.model, error)
-        outcome = answer.outcome
+        outcome = response.outcome
         self._record(request_id, outcome)
-        text = "".join(chunk.text for chunk in chunks)
-        finish_reason = chunks[-1].finish_reason or "stop"
+        text = "".join(chunk.text for chunk in received)
+        finish_reason = received[-1].finish_reason or "stop"
         usage = usage_body(outcome.usage) if outcome.usage else {}
-        return whole_answer(call, request_id, text, finish_reason, usage)
+        return completion_body(call, request_id, text, finish_reason, usage)
 
-    def _call_service(self, name: str, path: str):
+    def _serve_service_call(self, name: str, path: str):
         request_id = f"call-{self._instance}-{next(self._ids)}"
         request = bottle.request
         configuration = self._live.current
@@ -201,10 +205,10 @@
             team = read_team(configuration, request.headers)
             service = configuration.service(name)
             if service is None or name not in team.services:
-                detail = f"service {name!r} is not open to you"
+                detail = f"no service {name!r} for your team"
                 raise CallerError(404, "service_not_found", detail)
         except CallerError as error:
-            return self._refuse_caller(request_id, error)
+            return self._reject_call(request_id, error)
         query = f"?{request.query_string}" if request.query_string else ""
         call = ServiceCall(
             request_id=request_id,
@@ -216,15 +220,15 @@
         )
         key = request.headers.get(IDEMPOTENCY_HEADER)
         try:
-            answer = self._services.serve(team, service, call, key)
+            response = self._services.serve(team, service, call, key)
         except KumquatseamError as error:
             return self._refuse(request_id, team.name, name, error)
         headers = {"X-Request-Id": request_id}
-        if answer.content_type:
-            headers["Content-Type"] = answer.content_type
-        return bottle.HTTPResponse(answer.body, answer.status, headers=headers)
+        if response.content_type:
+            headers["Content-Type"] = response.content_type
+        return bottle.HTTPResponse(response.body, response.status, headers=headers)
 
-    def _record(self, request_id: str, outcome: AnswerOutcome) -> None:
+    def _record(self, request_id: str, outcome: CompletionOutcome) -> None:
         usage = outcome.usage
         prompt_tokens = usage.prompt_tokens if usage else 0
         cached_tokens = (usage.cached_tokens if usage else 0) or 0
@@ -239,14 +243,14 @@
             cached_tokens,
         )
 
-    def _refuse_caller(self, request_id: str, error: CallerError):
+    def _reject_call(self, request_id: str, error: CallerError):
         _log.info(
             "request={} refused status={} code={}", request_id, error.status, error.code
         )
-        return caller_fault_response(error)
+        return caller_error_response(error)
 
     def _refuse(self, request_id: str, team: str, target: str, error: KumquatseamError):
-        refusal = self._refusals.note(request_id, team, target, error)
+        refusal = self._refusals.record(request_id, team, target, error)
         self._figures.record_refusal()
         _log.info(
             "request={} refused run={} reason={}",
@@ -259,15 +263,15 @@
 
 @attrs.frozen
 class _ClosingStream:
-    """A stream whose answer is closed with it when the caller leaves."""
+    """An event stream that cancels its request when the caller disconnects."""
 
     frames: object
-    answer: CompletionAnswer
+    response: CompletionResponse
 
     def __iter__(self):
         return iter(self.frames)
 
     def close(self) -> None:
-        """Stop serving; called by the server when the response ends."""
+        """Stop the request; called by the server when the response ends."""
         self.frames.close()
-        self.answer.close()
+        self.response.close()
--- a/src/kumquatseam/callers/_refusals.py
+++ b/src/kumquatseam/callers/_refusals.py
@@ -1,4 +1,4 @@
-"""How each typed failure is told to a caller."""
+"""HTTP responses for typed errors."""
 
 import json
 
@@ -16,7 +16,7 @@
 from kumquatseam.quarantine import QuarantinedError
 from kumquatseam.serving import may_have_run
 
-#: seconds a caller is told to wait where the failure itself does not say.
+#: ``Retry-After`` for errors that carry no delay of their own, in seconds.
 RETRY_AFTER_S = 1.0
 _NOT_RUN = 503
 _MAY_HAVE_RUN = 502
@@ -37,8 +37,8 @@
     return bottle.HTTPResponse(body=json.dumps(body), status=status, headers=headers)
 
 
-def caller_fault_response(error: CallerError) -> bottle.HTTPResponse:
-    """Return the answer to a request that cannot be served as sent."""
+def caller_error_response(error: CallerError) -> bottle.HTTPResponse:
+    """Return the response to an invalid request."""
     return json_response(error.status, error_body(error.code, error.detail))
 
 
@@ -49,9 +49,9 @@
 
 
 def failure_response(error: KumquatseamError) -> bottle.HTTPResponse:
-    """Return the answer to a request that failed before its first token.
+    """Return the response to a request that failed before its first token.
 
-    429 and 503 promise that it was not run, and say when to come back.
+    Status 429 and 503 guarantee that it was not run and carry ``Retry-After``.
     """
     response = json_response(_status(error), failure_body(error))
     if not may_have_run(error):
--- a/src/kumquatseam/callers/_server.py
+++ b/src/kumquatseam/callers/_server.py
@@ -1,10 +1,10 @@
 """An HTTP server whose graceful shutdown does not wait for idle connections.
 
-gevent's server waits for every open connection's handler. Callers keep
-connections open between requests, so a plain stop waits out its whole
-timeout for connections on which nothing happens. This server knows which
-handlers are inside a request: when it drains, it ends the idle connections
-and tells the callers of the busy ones that theirs closes after the answer.
+gevent's server waits for the handler of every open connection. Callers keep
+connections open between requests, so a plain ``stop`` would wait for its whole
+timeout on idle connections. This server tracks which handlers are processing a
+request. When it drains, it closes idle connections and sends ``Connection: close``
+with the responses on busy ones.
 """
 
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class _TrackingHandler(gevent.pywsgi.WSGIHandler):
-    """A connection's handler that says whether it is inside a request."""
+    """A connection handler that tracks whether it is processing a request."""
 
     is_busy = False
 
@@ -41,25 +41,24 @@
             self.response_headers.append((b"Connection", b"close"))
         super().finalize_headers()
 
-    def end_if_idle(self) -> None:
-        """End the connection unless a request is being served on it."""
+    def close_if_idle(self) -> None:
+        """Shut down reading unless a request is being served on the connection."""
         if not self.is_busy:
-            # Reading ends; bytes that arrived before can still be read, so a
-            # request that crosses the shutdown is served.
+            # Bytes received before the shutdown can still be read, so a request
+            # that arrives at the same moment is served.
             with contextlib.suppress(OSError):
                 self.socket.shutdown(socket.SHUT_RD)
 
 
 class DrainingServer(gevent.pywsgi.WSGIServer):
-    """Serves an application on a pool of handlers and drains them to stop.
+    """WSGI server that drains its handlers when it stops.
 
     :param address: host and port.
     :param app: the WSGI application.
     """
 
     def __init__(self, address: tuple[str, int], app) -> None:
-        # A pool, not the default spawn: only with a pool does stop() wait for
-        # running handlers, which is what lets a shutdown drain.
+        # stop() waits for running handlers only if they run in a pool.
         super().__init__(
             address,
             app,
@@ -71,9 +70,9 @@
         self.is_draining = False
 
     def drain(self, timeout_s: float) -> None:
-        """Stop accepting and wait for the requests being served."""
+        """Stop accepting connections and wait for running requests."""
         self.is_draining = True
         self.stop_accepting()
         for handler in list(self.handlers):
-            handler.end_if_idle()
+            handler.close_if_idle()
         self.stop(timeout=timeout_s)
--- a/src/kumquatseam/callers/_shapes.py
+++ b/src/kumquatseam/callers/_shapes.py
@@ -29,7 +29,7 @@
 def stream_chunk(
     call: CompletionCall, request_id: str, chunk: EngineChunk, first: bool
 ) -> dict:
-    """Return the streamed chunk for one piece of text."""
+    """Return the streamed chunk for one text chunk of an engine."""
     if call.chat:
         delta = {"content": chunk.text}
         if first:
@@ -50,10 +50,10 @@
     return body
 
 
-def whole_answer(
+def completion_body(
     call: CompletionCall, request_id: str, text: str, finish_reason: str, usage: dict
 ) -> dict:
-    """Return the body of a non-streamed answer.
+    """Return the body of a response that is not streamed.
 
     :param usage: the OpenAI ``usage`` object, from :func:`usage_body`.
     """
@@ -71,8 +71,8 @@
 def error_body(code: str, detail: str, ran: bool | None = None) -> dict:
     """Return an OpenAI-style error object.
 
-    :param ran: ``False`` says "not run" (true by construction), ``True`` says
-        it may have run, ``None`` leaves it unsaid (caller errors).
+    :param ran: whether the request may have run; ``False`` guarantees that it did
+        not. ``None`` omits the field (caller errors).
     """
     error = {"message": detail, "type": code, "code": code}
     if ran is not None:
--- a/src/kumquatseam/clocks.py
+++ b/src/kumquatseam/clocks.py
@@ -1,17 +1,18 @@
-"""The clock by which permissions and beliefs run out."""
+"""The clock for the expiry of leases and of cached state."""
 
 import time
 
-#: ``None`` where the platform has no clock that goes on during a suspension.
+#: ``None`` on platforms without a clock that advances during a suspension.
 _SUSPEND_AWARE_CLOCK = getattr(time, "CLOCK_BOOTTIME", None)
 
 
 def elapsed_s() -> float:
-    """Return seconds that also pass while the machine is suspended.
+    """Return monotonic time in seconds that includes machine suspensions.
 
-    ``time.monotonic`` stands still then, so what others took over or changed
-    meanwhile would look as fresh as before. The values of the two do not compare.
-    Where the platform has no other clock, it is ``time.monotonic``.
+    ``time.monotonic`` does not advance during a suspension, so a lease or cached
+    state that expired in that time would still look valid. The values of the two
+    clocks are not comparable. On platforms without such a clock the time is
+    ``time.monotonic``.
     """
     if _SUSPEND_AWARE_CLOCK is None:
         return time.monotonic()
--- a/src/kumquatseam/codec.py
+++ b/src/kumquatseam/codec.py
@@ -1,10 +1,10 @@
-"""Binary codec for the messages and records of our own processes.
+"""Binary codec for messages and stored records.
 
 One :class:`MessageCodec` covers a closed set of frozen ``attrs`` classes and
-writes them as msgpack ``[kind, body]`` through cattrs, so no message travels
-as a bare map and an unknown kind is a typed failure. Records that are kept
-name their fields; messages between running processes are compact: fields by
-position, new ones at the end with a default, so that versions mix.
+encodes them with cattrs as msgpack ``[kind, body]``, so every message has a type
+and an unknown kind is a typed error. Stored records encode fields by name.
+Messages between running processes are compact: they encode fields by position.
+New fields go to the end and have a default, so that versions can be mixed.
 
 Example::
 
@@ -29,7 +29,8 @@
 
 def _converter(strategy: UnstructureStrategy):
     converter = make_converter(unstruct_strat=strategy)
-    # Block keys come by the million; msgpack has checked they are numbers.
+    # Skips the check of each element, since there are millions of block keys;
+    # msgpack has already decoded them as numbers.
     converter.register_structure_hook_func(
         lambda cls: cls == tuple[int, ...], lambda value, _: tuple(value)
     )
@@ -43,9 +44,9 @@
 class MessageCodec:
     """Encodes and decodes a closed set of message classes.
 
-    :param family: what the messages are for, named in errors.
-    :param kinds: wire name to message class.
-    :param is_compact: write fields by position instead of by name.
+    :param family: the name of the set, used in errors.
+    :param kinds: message classes by their kind on the wire.
+    :param is_compact: encode fields by position instead of by name.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self._names = {cls: kind for kind, cls in self._kinds.items()}
 
     def encode(self, message: object) -> bytes:
-        """Return ``message`` as msgpack bytes.
+        """Return ``message`` encoded as msgpack.
 
         :raises CodecError: if its class is not in the set.
         """
@@ -67,7 +68,7 @@
         return msgpack.packb([kind, self._converter.unstructure(message)])
 
     def decode(self, data: bytes) -> object:
-        """Return the message in ``data``.
+        """Return the message decoded from ``data``.
 
         :raises CodecError: if the bytes are not a message of the set.
         """
--- a/src/kumquatseam/control.py
+++ b/src/kumquatseam/control.py
@@ -1,6 +1,7 @@
-"""What a router answers at its control address.
+"""Handling of the requests sent to a router's control address.
 
-Peers send heartbeats and ask for warm state; operators ask queries.
+Peers send heartbeats and request configurations and warm state; operators send
+queries.
 """
 
 from collections.abc import Callable
@@ -26,14 +27,14 @@
 
 
 class ControlHandler:
-    """Replies to control messages.
+    """Handles control messages.
 
-    :param live: the configuration in force.
+    :param live: the active configuration.
     :param membership: this router's view of its peers.
-    :param summaries: takes in peers' summaries.
-    :param configuration: tells peers the configuration in force here.
+    :param summaries: applies the summaries in peers' heartbeats.
+    :param configuration: returns the active configuration for peers.
     :param answerer: answers queries.
-    :param read_warm_state: returns what this router knows of caches.
+    :param read_warm_state: returns this router's view of the engines' caches.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         :raises CodecError: if it is not a request.
         """
         if isinstance(message, Heartbeat):
-            self.receive(message)
+            self.on_heartbeat(message)
             return self._membership.heartbeat(self._live.next_offset, _NO_SUMMARY)
         if isinstance(message, QueryRequest):
             return self._answer(message)
@@ -66,15 +67,17 @@
             return self._read_warm_state()
         if isinstance(message, ConfigurationRequest):
             return self._configuration.snapshot()
-        raise CodecError("control message", f"no request: {type(message).__name__}")
+        raise CodecError(
+            "control message", f"{type(message).__name__} is not a request"
+        )
 
-    def receive(self, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat sent to us."""
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Apply a heartbeat sent by a peer."""
         self._membership.receive(heartbeat)
         self._summaries.receive(heartbeat)
 
-    def receive_reply(self, heartbeat: Heartbeat) -> None:
-        """Take in a peer's reply to our heartbeat (it carries no summary)."""
+    def on_heartbeat_reply(self, heartbeat: Heartbeat) -> None:
+        """Apply a peer's reply to this router's heartbeat (it carries no summary)."""
         self._membership.receive(heartbeat)
 
     def _answer(self, message: QueryRequest) -> ControlMessage:
--- a/src/kumquatseam/daemon.py
+++ b/src/kumquatseam/daemon.py
@@ -6,8 +6,8 @@
     kumquatseamd --settings FILE.ini  # a settings file
     kumquatseamd --policy round_robin # override the routing policy
 
-It runs until SIGTERM or SIGINT, then drains and closes. A settings fault
-stops it at once with exit code 2 and the typed error on standard error.
+It runs until SIGTERM or SIGINT, then drains and closes. On invalid settings it
+exits at once with code 2 and prints the typed error to standard error.
 """
 
 from gevent import monkey
@@ -35,9 +35,9 @@
 ):
     """Run the router daemon until SIGTERM.
 
-    :param settings: path of an INI file; none means the embedded default.
-    :param policy: routing policy overriding the settings' one.
-    :param log_level: lowest log level written.
+    :param settings: path of an INI file; ``None`` for the embedded default.
+    :param policy: routing policy that overrides the one in the settings.
+    :param log_level: lowest log level that is written.
     """
     configure_logging("kumquatseamd", log_level)
     try:
--- a/src/kumquatseam/errors.py
+++ b/src/kumquatseam/errors.py
@@ -1,24 +1,24 @@
-"""The typed failures of kumquatseam.
+"""The typed errors of kumquatseam.
 
-Every failure the system reports is one of these classes; no failure travels
-as a bare string, map or tuple. Where several parts fail together (for example
-when closing the daemon) they are raised as an :class:`ExceptionGroup` of these.
+Every error that the system reports is an instance of one of these classes, never
+a bare string, map or tuple. Errors of several components at once (for example
+while closing the daemon) are raised as an :class:`ExceptionGroup`.
 """
 
 import attrs
 
 
 class KumquatseamError(Exception):
-    """Base class of every failure raised by kumquatseam."""
+    """Base class of all errors raised by kumquatseam."""
 
 
 @attrs.define(frozen=True, eq=False)
 class SettingsError(KumquatseamError):
     """A setting is missing, malformed or refers to something unknown.
 
-    :param path: the INI file read, or ``"<embedded default>"``.
+    :param path: the INI file, or ``"<embedded default>"``.
     :param section: the INI section, e.g. ``"team:zarszamadas-pecs"``.
-    :param key: the key inside the section, or ``""`` for the section itself.
+    :param key: the key in the section, or ``""`` for the section itself.
     :param reason: what is wrong, in one short sentence.
     """
 
@@ -34,7 +34,7 @@
 
 @attrs.define(frozen=True, eq=False)
 class CallerError(KumquatseamError):
-    """A caller's request cannot be served; nothing was run for it.
+    """A caller's request is invalid; it was not run.
 
     :param status: HTTP status code sent to the caller, e.g. ``401``.
     :param code: OpenAI-style error code, e.g. ``"invalid_api_key"``.
@@ -51,7 +51,7 @@
 
 @attrs.define(frozen=True, eq=False)
 class NoUpstreamError(KumquatseamError):
-    """No live engine may serve this team and model; nothing was run.
+    """No live engine may serve this team and model; the request was not run.
 
     :param team: the caller's team.
     :param model: the requested model name.
@@ -66,11 +66,11 @@
 
 @attrs.define(frozen=True, eq=False)
 class OverloadedError(KumquatseamError):
-    """Every engine that may serve this class is too busy; nothing was run.
+    """Every engine that may serve this class is overloaded; the request was not run.
 
     :param team: the caller's team.
-    :param priority_class: the class that is shed.
-    :param retry_after_s: when to come back, in seconds.
+    :param priority_class: the priority class that is shed.
+    :param retry_after_s: delay before a retry, in seconds.
     """
 
     team: str
@@ -78,7 +78,10 @@
     retry_after_s: float
 
     def __str__(self) -> str:
-        return f"routing: class {self.priority_class} of team {self.team} is shed"
+        return (
+            f"routing: engines overloaded; class {self.priority_class} of team "
+            f"{self.team} is shed"
+        )
 
 
 @attrs.define(frozen=True, eq=False)
@@ -86,10 +89,10 @@
     """An engine failed while serving a request.
 
     :param upstream: the engine's name from the settings.
-    :param started: ``True`` if the engine may have begun the work (an answer
-        began, or the request was sent and the connection then broke);
-        ``False`` only when it provably never received the request.
-    :param detail: a short sentence on what failed.
+    :param started: ``True`` if the engine may have run the request (a response
+        started, or the connection failed after the request was sent); ``False``
+        only if it provably did not run it.
+    :param detail: what failed, in a short sentence.
     """
 
     upstream: str
@@ -103,13 +106,13 @@
 
 @attrs.define(frozen=True, eq=False)
 class EngineMismatchError(KumquatseamError):
-    """An engine runs other weights, or is in another life, than expected.
+    """An engine's weights or epoch differ from the expected ones.
 
-    It refused the request before running it.
+    It refused the request without running it.
 
     :param upstream: the engine's name.
-    :param epoch: the life it is in, if it said.
-    :param version: the weights of the model asked for, if it said.
+    :param epoch: its current epoch (one per engine start), if reported.
+    :param version: its weights version of the requested model, if reported.
     """
 
     upstream: str
@@ -118,17 +121,17 @@
 
     def __str__(self) -> str:
         return (
-            f"engines: {self.upstream} is in epoch {self.epoch} "
-            f"with version {self.version}"
+            f"engines: {self.upstream} refused: it has epoch {self.epoch} "
+            f"and weights version {self.version}"
         )
 
 
 @attrs.define(frozen=True, eq=False)
 class RetryBudgetError(KumquatseamError):
-    """The budget of retries is spent; the request goes nowhere else.
+    """The retry budget is exhausted; the request is not retried.
 
     :param upstream: the engine that failed last.
-    :param started: whether any engine may have begun the work.
+    :param started: whether any engine may have run the request.
     """
 
     upstream: str
@@ -136,16 +139,16 @@
 
     def __str__(self) -> str:
         ran = "may have run" if self.started else "not run"
-        return f"admission: retry budget spent after {self.upstream} ({ran})"
+        return f"admission: retry budget exhausted after {self.upstream} failed ({ran})"
 
 
 @attrs.define(frozen=True, eq=False)
 class TeamLimitError(KumquatseamError):
-    """A team has as many requests running as it may; nothing was run.
+    """A team is at its limit of running requests; the request was not run.
 
     :param team: the team's name.
     :param max_running: this router's share of the team's limit.
-    :param retry_after_s: when to come back, in seconds.
+    :param retry_after_s: delay before a retry, in seconds.
     """
 
     team: str
@@ -153,14 +156,17 @@
     retry_after_s: float
 
     def __str__(self) -> str:
-        return f"admission: team {self.team} already runs {self.max_running} requests"
+        return (
+            f"admission: team {self.team} is at its limit of {self.max_running} "
+            "running requests"
+        )
 
 
 @attrs.define(frozen=True, eq=False)
 class AlreadyClaimedError(KumquatseamError):
-    """A request that must run at most once was claimed before.
+    """The idempotency key of a request is already claimed.
 
-    It may have run, or be running, under the earlier claim.
+    The request may have run, or be running, under the earlier claim.
 
     :param key: the caller's idempotency key.
     :param request_id: the request that holds the claim.
@@ -170,7 +176,10 @@
     request_id: str
 
     def __str__(self) -> str:
-        return f"idempotency: key {self.key!r} is claimed by {self.request_id}"
+        return (
+            f"idempotency: key {self.key!r} is already claimed by request "
+            f"{self.request_id}"
+        )
 
 
 @attrs.define(frozen=True, eq=False)
@@ -178,26 +187,26 @@
     """A claim could not be recorded, so the request was not run.
 
     :param key: the caller's idempotency key.
-    :param detail: why the log did not take it.
+    :param detail: why the claim could not be recorded.
     """
 
     key: str
     detail: str
 
     def __str__(self) -> str:
-        return f"idempotency: cannot claim {self.key!r}: {self.detail}"
+        return f"idempotency: cannot claim key {self.key!r}: {self.detail}"
 
 
 @attrs.define(frozen=True, eq=False)
 class CodecError(KumquatseamError):
-    """A message between our processes could not be decoded.
+    """A message between processes of this system could not be encoded or decoded.
 
-    :param kind: the message kind expected or found.
-    :param detail: what was wrong with it.
+    :param kind: the message kind or family.
+    :param detail: what is wrong with it.
     """
 
     kind: str
     detail: str
 
     def __str__(self) -> str:
-        return f"codec: cannot decode {self.kind}: {self.detail}"
+        return f"codec: invalid {self.kind}: {self.detail}"
--- a/src/kumquatseam/lifecycle.py
+++ b/src/kumquatseam/lifecycle.py
@@ -1,12 +1,12 @@
-"""Starting several parts in order, and closing them in reverse."""
+"""Starting components in order and closing them in reverse order."""
 
 from collections.abc import Sequence
 
 
 class PartGroup:
-    """Parts that start and close together.
+    """Components that are started and closed together.
 
-    :param name: named in the failure to close.
+    :param name: the group's name, used in errors.
     :param parts: objects with ``start()`` and ``close()``, in start order.
     """
 
@@ -15,20 +15,20 @@
         self._parts = parts
 
     def start(self) -> None:
-        """Start every part in order."""
+        """Start all components in order."""
         for part in self._parts:
             part.start()
 
     def close(self) -> None:
-        """Close every part in reverse order.
+        """Close all components in reverse order, even if some fail to close.
 
-        :raises ExceptionGroup: of every part's failure to close, if any.
+        :raises ExceptionGroup: with the errors of the components that failed.
         """
         failures = []
         for part in reversed(self._parts):
             try:
                 part.close()
-            except Exception as error:  # noqa: BLE001 - gathered and raised below
+            except Exception as error:  # noqa: BLE001 - collected and raised below
                 failures.append(error)
         if failures:
-            raise ExceptionGroup(f"{self._name}: parts failed to close", failures)
+            raise ExceptionGroup(f"{self._name}: components failed to close", failures)
--- a/src/kumquatseam/logs.py
+++ b/src/kumquatseam/logs.py
@@ -1,13 +1,13 @@
-"""Structured logging through loguru, with a fixed prefix for each part.
+"""Structured logging with loguru, with a fixed prefix per component.
 
-Each part of the system takes its own logger from :func:`part_logger`; every
-line it writes starts with that part's name, e.g. ``route: team=... engine=...``.
+Each component gets its logger from :func:`part_logger`; its lines start with the
+component's name, e.g. ``route: team=... engine=...``.
 Call :func:`configure_logging` (text) or :func:`configure_json_logging` (one
-JSON object a line) once in a program's ``main``.
+JSON object per line) once in a program's ``main``.
 
-Levels say what may be left out under load: ``DEBUG`` lines tell of single
-requests that went well and are bounded per part and second; ``INFO`` and
-above (changes of belief, failures, refusals) are always written.
+The level decides what may be dropped under load: ``DEBUG`` lines describe single
+successful requests and are limited per component and second. Lines of ``INFO`` and
+above (state changes, errors, refusals) are not rate limited.
 """
 
 import collections
@@ -24,21 +24,22 @@
     "{time:YYYY-MM-DD HH:mm:ss.SSS} {level: <7} {extra[process]} "
     "{extra[part]}: {message}"
 )
-#: lines of one part and second about requests that went well; four times what
-#: an instance serves at today's peak, two lines a request.
+#: maximum number of DEBUG lines per component and second: four times the peak rate
+#: of an instance, at two lines per request.
 DEBUG_LINES_PER_S = 200
-#: bytes kept for a reader that does not read; further lines are counted only.
+#: maximum number of bytes buffered while the reader is slow; further lines are
+#: dropped and counted.
 MAX_PENDING_BYTES = 1_048_576
-#: lines are written in batches this far apart: one system call for many.
+#: interval between two writes; lines are batched to save system calls.
 FLUSH_INTERVAL_S = 0.05
 
 
 def configure_logging(process_name: str, level: str = "INFO") -> None:
-    """Send log lines to standard error in the project's line format.
+    """Write log lines to standard error in the project's line format.
 
-    :param process_name: a name for this process, shown on every line, e.g.
+    :param process_name: the name of this process, shown on every line, e.g.
         ``"kumquatseamd"`` or ``"engine:nyelvmodell-flotta-0"``.
-    :param level: the lowest loguru level written, e.g. ``"INFO"``.
+    :param level: the lowest loguru level that is written, e.g. ``"INFO"``.
     """
     logger.remove()
     logger.configure(extra={"part": "main", "process": process_name})
@@ -46,16 +47,16 @@
 
 
 def _text_format(record) -> str:
-    """Return the line format of a record, its bound fields after the message."""
+    """Return the line format of a record, with bound fields after the message."""
     names = [name for name in record["extra"] if name not in ("part", "process")]
     fields = "".join(f" {name}={{extra[{name}]}}" for name in names)
     return f"{LINE_FORMAT}{fields}\n{{exception}}"
 
 
 def configure_json_logging(process_name: str, level: str = "DEBUG") -> "LineWriter":
-    """Send one JSON object a line to standard output, never blocking.
+    """Write one JSON object per line to standard output, without blocking.
 
-    :returns: the writer, started; close it last.
+    :returns: the started writer; close it after all other components.
     """
     writer = LineWriter(sys.stdout.fileno(), process_name)
     logger.remove()
@@ -68,17 +69,17 @@
 def part_logger(part: str):
     """Return a logger whose lines carry the fixed prefix ``part``.
 
-    :param part: the part's name, e.g. ``"route"``, ``"callers"``.
+    :param part: the component's name, e.g. ``"route"``, ``"callers"``.
     :returns: a bound loguru logger.
     """
     return logger.bind(part=part)
 
 
 class LineWriter:
-    """Writes log records as JSON lines to a descriptor that may not be read.
+    """Writes log records as JSON lines to a descriptor whose reader may be slow.
 
-    :param descriptor: where lines go; set to non-blocking.
-    :param process_name: named on every line.
+    :param descriptor: the output descriptor; it is set to non-blocking.
+    :param process_name: the name of this process, written on every line.
     """
 
     def __init__(self, descriptor: int, process_name: str) -> None:
@@ -93,19 +94,19 @@
         self.left_out = 0
 
     def start(self) -> None:
-        """Begin to write in the background."""
+        """Start writing in the background."""
         os.set_blocking(self._descriptor, False)
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Write what the reader takes at once, and stop."""
+        """Stop, after writing as much as the reader accepts without blocking."""
         if self._greenlet is not None:
             self._greenlet.kill()
             self._greenlet = None
         self._flush()
 
     def write(self, message) -> None:
-        """Take in one loguru message."""
+        """Buffer one loguru message."""
         record = message.record
         extra = record["extra"]
         part = extra["part"]
@@ -144,7 +145,7 @@
 
     def _run(self) -> None:
         while True:
-            # An idle process does not wake up twenty times a second for nothing.
+            # Avoids 20 wake-ups per second in an idle process.
             self._has_lines.wait()
             gevent.sleep(FLUSH_INTERVAL_S)
             self._has_lines.clear()
@@ -160,7 +161,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody can read lines any more; there is nowhere to say so.
+            # The reader is gone, and there is no other place to report it.
             self._pending_bytes = 0
             return
         if written < len(data):
--- a/src/kumquatseam/loops.py
+++ b/src/kumquatseam/loops.py
@@ -1,4 +1,4 @@
-"""Work in the background, on a greenlet of its own."""
+"""Background tasks, each on its own greenlet."""
 
 import abc
 from collections.abc import Callable
@@ -12,38 +12,39 @@
 
 
 class BackgroundTask(abc.ABC):
-    """Something that runs from ``start`` to ``close``."""
+    """A task that runs on a greenlet from ``start`` to ``close``."""
 
     def __init__(self) -> None:
         self._greenlet: gevent.Greenlet | None = None
 
     @property
     def is_running(self) -> bool:
-        """Whether it was started and not closed."""
+        """Whether the task was started and not closed."""
         return self._greenlet is not None
 
     def start(self) -> None:
-        """Begin."""
+        """Start the task."""
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Stop; what is under way is cut off."""
+        """Stop the task by killing its greenlet, without waiting for its work."""
         if self._greenlet is not None:
             self._greenlet.kill()
             self._greenlet = None
 
     @abc.abstractmethod
     def _run(self) -> None:
-        """Do the work; called on the greenlet."""
+        """Do the work of the task; called on the greenlet."""
 
 
 class StepLoop(BackgroundTask):
-    """Runs steps in order, again and again.
+    """Runs steps periodically.
 
-    :param interval_s: seconds between two rounds, or what returns them.
-    :param steps: called in order each round; a failure is logged and the loop
-        goes on, since nobody would notice that it had ended.
-    :param starts_immediately: begin with a round instead of a pause.
+    :param interval_s: pause between two rounds in seconds, or a function that
+        returns it.
+    :param steps: called in order in each round. An exception is logged and the loop
+        continues, because nothing else would detect that it had ended.
+    :param starts_immediately: run the first round without a pause before it.
     """
 
     def __init__(
@@ -55,10 +56,10 @@
         super().__init__()
         self._interval_s = interval_s if callable(interval_s) else lambda: interval_s
         self._steps = steps
-        self._runs_at_once = starts_immediately
+        self._starts_immediately = starts_immediately
 
     def _run(self) -> None:
-        if not self._runs_at_once:
+        if not self._starts_immediately:
             gevent.sleep(self._interval_s())
         while True:
             for step in self._steps:
@@ -70,25 +71,25 @@
         try:
             step()
         except Exception:  # noqa: BLE001 - logged; the loop supervises its steps
-            _log.exception("A step failed; going on.")
+            _log.exception("A periodic step failed; the loop continues.")
 
 
 class WakeableLoop(BackgroundTask):
-    """Runs a step when it is told that there is something to do.
+    """Runs a step after each call of :meth:`wake`.
 
-    :param step: does what is to do; returns whether to try again after a pause. A
-        failure is logged and tried again.
-    :param retry_pause_s: seconds before the next try.
+    :param step: does the pending work and returns whether to retry after a delay.
+        An exception is logged and the step is retried.
+    :param retry_delay_s: delay before a retry, in seconds.
     """
 
-    def __init__(self, step: Callable[[], bool], retry_pause_s: float) -> None:
+    def __init__(self, step: Callable[[], bool], retry_delay_s: float) -> None:
         super().__init__()
         self._step = step
-        self._retry_pause_s = retry_pause_s
+        self._retry_delay_s = retry_delay_s
         self._is_due = gevent.event.Event()
 
     def wake(self) -> None:
-        """Note that there is something to do."""
+        """Signal that work is pending."""
         self._is_due.set()
 
     def _run(self) -> None:
@@ -96,11 +97,11 @@
             self._is_due.wait()
             self._is_due.clear()
             while self._run_step():
-                gevent.sleep(self._retry_pause_s)
+                gevent.sleep(self._retry_delay_s)
 
     def _run_step(self) -> bool:
         try:
             return self._step()
         except Exception:  # noqa: BLE001 - logged; the loop supervises its step
-            _log.exception("A step failed; trying again.")
+            _log.exception("A step failed; retrying after a delay.")
             return True
--- a/src/kumquatseam/nng.py
+++ b/src/kumquatseam/nng.py
@@ -1,10 +1,10 @@
-"""Using nng sockets without stalling gevent.
+"""Use of nng sockets without blocking gevent.
 
-pynng's blocking ``recv`` is a C call that would stall the whole gevent hub.
+pynng's blocking ``recv`` is a C call that would block the whole gevent hub.
 These helpers wait on the socket's receive descriptor and then read without
-blocking; a wake-up may be spurious.
+blocking; wake-ups may be spurious.
 
-Whoever uses pynng imports this module before it opens a socket.
+Any module that uses pynng must import this one before it opens a socket.
 """
 
 import logging
@@ -19,15 +19,16 @@
 
 
 def _use_native_locks() -> None:
-    """Let pynng lock as threads do.
+    """Make pynng use native thread locks instead of gevent's.
 
-    nng calls it on threads of its own when connections come and go. With gevent's
-    locks two of these waited for each other for good, and a socket that was being
-    closed meanwhile stopped the whole process.
+    nng calls pynng on its own threads when connections open and close. With gevent's
+    locks two such threads deadlocked, and a socket that was closed at the same time
+    then blocked the whole process.
     """
     native_lock = gevent.monkey.get_original("threading", "Lock")
     pynng.nng.threading = types.SimpleNamespace(Lock=native_lock)
-    # Asked once here, or it takes a lock of the logging module on those threads.
+    # Fills the logger's level cache; otherwise nng's threads would take the lock of
+    # the logging module.
     logging.getLogger(pynng.nng.__name__).isEnabledFor(logging.DEBUG)
 
 
@@ -35,7 +36,7 @@
 
 
 def receive_forever(socket: pynng.Socket, handler: Callable[[bytes], None]) -> None:
-    """Call ``handler`` with every message ``socket`` receives."""
+    """Call ``handler`` with each message that ``socket`` receives."""
     descriptor = socket.recv_fd
     while True:
         gevent.socket.wait_read(descriptor)
--- a/src/kumquatseam/pools.py
+++ b/src/kumquatseam/pools.py
@@ -1,9 +1,9 @@
-"""HTTP connection pools that forget connections gone silent.
+"""HTTP connection pools that drop connections that stopped responding.
 
-Something between two ends can lose track of open connections: they go silent
-for good while new ones work. One timeout then says that every idle
-connection to that address is suspect, so all of them are dropped and the
-next request opens a new one, instead of each waiting out its own timeout.
+A middlebox can lose the state of open connections: they stay open but carry no
+data, while new connections work. After one read timeout all idle connections to
+the address are therefore closed, so that the next request opens a new one and
+does not run into a timeout of its own.
 """
 
 import socket
@@ -11,17 +11,17 @@
 import urllib3
 from urllib3.connection import HTTPConnection
 
-#: idle connections kept per address.
+#: maximum number of idle connections per address.
 IDLE_CONNECTIONS = 64
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
-#: how long sent bytes may stay unacknowledged before a connection ends.
+#: maximum time that sent bytes may stay unacknowledged; then the connection fails.
 USER_TIMEOUT_MS = 3000
 
 
 class AddressPools:
-    """One pool of connections per base URL; urllib3 retries nothing itself."""
+    """One connection pool per base URL, without urllib3's own retries."""
 
     def __init__(self) -> None:
         self._pools: dict[str, urllib3.PoolManager] = {}
@@ -29,11 +29,11 @@
     def request(self, method: str, url: str, path: str, **options):
         """Send a request to ``path`` at base URL ``url``.
 
-        A read timeout drops the idle connections to ``url``.
+        A read timeout closes the idle connections to ``url``.
 
-        :param options: passed on to urllib3.
+        :param options: further arguments of urllib3's ``request``.
         :returns: urllib3's response.
-        :raises urllib3.exceptions.HTTPError: as urllib3 does.
+        :raises urllib3.exceptions.HTTPError: if the request fails.
         """
         try:
             return self._pool(url).request(method, f"{url}{path}", **options)
@@ -53,9 +53,9 @@
         return pool
 
     def drop(self, url: str) -> None:
-        """Close the idle connections to ``url``: one of them went silent.
+        """Close the idle connections to ``url``.
 
-        Requests that run on others finish; their connections close after.
+        Running requests finish first; their connections are closed afterwards.
         """
         pool = self._pools.pop(url, None)
         if pool is not None:
@@ -68,9 +68,9 @@
 
 
 def dead_peer_socket_options() -> list[tuple[int, int, int]]:
-    """Return socket options that end connections no one acknowledges.
+    """Return socket options that end connections whose peer does not acknowledge.
 
-    urllib3's own come first: they send small writes at once.
+    They include urllib3's defaults, which disable Nagle's algorithm.
     """
     return [
         *HTTPConnection.default_socket_options,
--- a/src/kumquatseam/request_reply.py
+++ b/src/kumquatseam/request_reply.py
@@ -1,7 +1,6 @@
-"""Request and reply between our own processes over nng.
+"""Request-reply messaging between processes of this system, over nng.
 
-Use it for what is asked now and then; what all are told goes over publish and
-subscribe.
+Use it for occasional queries; broadcasts use publish-subscribe.
 """
 
 from collections.abc import Callable
@@ -18,11 +17,11 @@
 
 
 class ReplyServer:
-    """Answers what other processes ask at one address.
+    """Replies to the requests of other processes at one address.
 
     :param address: nng address to listen on.
-    :param codec: encodes questions and replies.
-    :param handler: returns the reply to a message.
+    :param codec: codec of requests and replies.
+    :param handler: returns the reply to a request.
     """
 
     def __init__(
@@ -39,13 +38,13 @@
         self.bytes_exchanged = 0
 
     def start(self) -> None:
-        """Listen and begin answering."""
+        """Start listening and replying."""
         self._socket = pynng.Rep0(listen=self._address)
         self._greenlet = gevent.spawn(receive_forever, self._socket, self._answer)
         _log.info("Listening on {}.", self._address)
 
     def close(self) -> None:
-        """Stop answering."""
+        """Stop replying and close the socket."""
         if self._greenlet is not None:
             self._greenlet.kill()
         if self._socket is not None:
@@ -56,20 +55,20 @@
         try:
             reply = self._codec.encode(self._handler(self._codec.decode(data)))
         except KumquatseamError as error:
-            _log.warning("Left a message unanswered: {}.", error)
+            _log.warning("Request not answered: {}.", error)
             return
         self.bytes_exchanged += len(reply)
         try:
             self._socket.send(reply, block=False)
         except pynng.NNGException as error:
-            _log.warning("Could not answer: {!r}.", error)
+            _log.warning("Reply could not be sent: {!r}.", error)
 
 
 class ReplyClient:
-    """Asks one process, keeping its connection.
+    """Sends requests to one process over a persistent connection.
 
-    :param address: the nng address it answers at.
-    :param codec: encodes questions and replies.
+    :param address: the nng address of its :class:`ReplyServer`.
+    :param codec: codec of requests and replies.
     """
 
     def __init__(self, address: str, codec: MessageCodec) -> None:
@@ -83,10 +82,10 @@
         """Close the connection."""
         self._socket.close()
 
-    def ask(self, message: object, timeout_s: float) -> object | None:
-        """Return the process's reply, or ``None`` if none came in time.
+    def request(self, message: object, timeout_s: float) -> object | None:
+        """Send ``message`` and return the reply, or ``None`` after the timeout.
 
-        Asking again gives up the request before.
+        A new request cancels the previous one.
         """
         data = self._codec.encode(message)
         with gevent.Timeout(timeout_s, False):
@@ -100,7 +99,7 @@
             try:
                 return self._codec.decode(reply)
             except CodecError as error:
-                _log.warning("Dropped a reply of {}: {}.", self.address, error)
+                _log.warning("Invalid reply from {}: {}.", self.address, error)
         return None
 
     def _send(self, data: bytes) -> bool:
@@ -114,9 +113,9 @@
 def request_once(
     address: str, codec: MessageCodec, message: object, timeout_s: float
 ) -> object | None:
-    """Ask the process at ``address`` once; ``None`` if it does not reply in time."""
+    """Send one request over a new connection; return ``None`` after the timeout."""
     client = ReplyClient(address, codec)
     try:
-        return client.ask(message, timeout_s)
+        return client.request(message, timeout_s)
     finally:
         client.close()
--- a/src/kumquatseam/services/__init__.py
+++ b/src/kumquatseam/services/__init__.py
@@ -1,7 +1,8 @@
-"""Everything the router needs to call plain services.
+"""Client for calls to plain services.
 
 :class:`ServiceClient` is the interface, :class:`HttpServiceClient` calls over
-HTTP; :class:`ServiceCall` and :class:`ServiceResponse` are what they exchange.
+HTTP; :class:`ServiceCall` and :class:`ServiceResponse` are its
+request and response.
 """
 
 from kumquatseam.services._client import (
--- a/src/kumquatseam/services/_client.py
+++ b/src/kumquatseam/services/_client.py
@@ -14,12 +14,12 @@
 class ServiceCall:
     """A caller's call to a plain service.
 
-    :param request_id: the router's id, sent end to end.
+    :param request_id: the router's id, forwarded to the service.
     :param method: HTTP method.
     :param path: path and query below the replica's base URL.
-    :param body: the body.
+    :param body: the request body.
     :param content_type: its media type, or ``None``.
-    :param team: the caller's team, told to the service.
+    :param team: the caller's team, forwarded to the service.
     """
 
     request_id: str
@@ -32,10 +32,10 @@
 
 @attrs.frozen
 class ServiceResponse:
-    """A service's whole answer.
+    """The complete response of a service.
 
     :param status: HTTP status.
-    :param body: the body.
+    :param body: the response body.
     :param content_type: its media type, or ``None``.
     """
 
@@ -49,17 +49,17 @@
 
     @abc.abstractmethod
     def call(self, url: str, call: ServiceCall) -> ServiceResponse:
-        """Send ``call`` to the replica at ``url`` and return its whole answer.
+        """Send ``call`` to the replica at ``url`` and return the complete response.
 
-        :raises UpstreamError: ``started=False`` only if it provably never ran.
+        :raises UpstreamError: with ``started=False`` only if it provably did not run.
         """
 
 
 class HttpServiceClient(ServiceClient):
     """Calls services over pooled HTTP connections.
 
-    :param connect_timeout_s: timeout to connect.
-    :param read_timeout_s: timeout of the answer.
+    :param connect_timeout_s: connect timeout.
+    :param read_timeout_s: read timeout of the response.
     """
 
     def __init__(self, connect_timeout_s: float, read_timeout_s: float) -> None:
@@ -67,7 +67,7 @@
         self._pools = AddressPools()
 
     def start(self) -> None:
-        """Connections open as calls need them."""
+        """Do nothing; connections are opened on demand."""
 
     def close(self) -> None:
         """Close every pooled connection."""
@@ -93,7 +93,7 @@
         ) as error:
             raise UpstreamError(url, False, f"cannot connect: {error}") from error
         except urllib3.exceptions.HTTPError as error:
-            raise UpstreamError(url, True, f"answer broke: {error}") from error
+            raise UpstreamError(url, True, f"response interrupted: {error}") from error
         if NOT_EXECUTED_HEADER in response.headers:
             raise UpstreamError(url, False, f"HTTP {response.status}, not run")
         content_type = response.headers.get("Content-Type")
--- a/src/kumquatseam/serving/__init__.py
+++ b/src/kumquatseam/serving/__init__.py
@@ -1,14 +1,14 @@
-"""Serving one request from admission to its last token.
+"""Serving of single requests, from admission to the last token.
 
-- :class:`CompletionServer` serves completions on model engines.
+- :class:`CompletionServer` serves completions on engines.
 - :class:`ServiceServer` serves calls on plain services.
-- :class:`RefusalLog` remembers refusals for operators' queries.
+- :class:`RefusalLog` keeps recent refusals for operators' queries.
 """
 
 from kumquatseam.serving._completions import (
-    AnswerOutcome,
     Completion,
-    CompletionAnswer,
+    CompletionOutcome,
+    CompletionResponse,
     CompletionServer,
 )
 from kumquatseam.serving._parts import ServingParts
@@ -17,9 +17,9 @@
 from kumquatseam.serving._services import ServiceServer
 
 __all__ = [
-    "AnswerOutcome",
+    "CompletionOutcome",
     "Completion",
-    "CompletionAnswer",
+    "CompletionResponse",
     "CompletionServer",
     "Refusal",
     "RefusalLog",
--- a/src/kumquatseam/serving/_completions.py
+++ b/src/kumquatseam/serving/_completions.py
@@ -1,10 +1,10 @@
-"""Serving a completion: claim, route, send, and go on elsewhere if it breaks.
+"""Serving of completions: claim, route, send, and resume after failures.
 
-A completion may be repeated unless its caller marked it with an idempotency
-key. So when an engine breaks in the middle of an answer, the request goes on
-at another engine after the tokens the caller already has, and the caller
-sees one complete answer. A marked request is claimed in the log first and is
-sent to a second engine only if the first provably did not run it.
+A completion without an idempotency key may be retried. If an engine fails in
+the middle of a response, the request is resumed on another engine after the
+tokens that the caller already has, so the caller gets one complete response.
+A completion with an idempotency key is first claimed in the log, and is sent to
+a second engine only if the first one provably did not run it.
 """
 
 import urllib.parse
@@ -39,10 +39,11 @@
 
 _log = part_logger("serving")
 
-#: times an engine's word on its own weights or life is taken per request.
+#: maximum number of reroutes of one request after an engine reports other weights or
+#: another epoch than expected.
 MAX_MISMATCHES = 3
-#: how long a prompt under which engines crashed is taken to run, at most.
-RUN_LASTS_S = 30.0
+#: assumed maximum run time of a request that is suspected of crashing engines.
+MAX_RUN_DURATION_S = 30.0
 
 
 @attrs.frozen
@@ -51,11 +52,12 @@
 
     :param request_id: the router's id.
     :param team: the caller's team.
-    :param model: the model asked for.
+    :param model: the requested model.
     :param prompt: the prompt text.
-    :param max_tokens: tokens to generate at most.
-    :param priority: its class.
-    :param idempotency_key: marks it as not repeatable; ``None`` otherwise.
+    :param max_tokens: maximum number of tokens to generate.
+    :param priority: its priority class.
+    :param idempotency_key: the caller's key, which rules out retries of work that
+        may have run; ``None`` if the request may be retried.
     """
 
     request_id: str
@@ -68,7 +70,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """What it has in common with its repeats."""
+        """The fingerprint, equal for repeated sends of the same completion."""
         return fingerprint(
             self.team.name,
             b"completion",
@@ -79,12 +81,12 @@
 
 
 @attrs.frozen
-class AnswerOutcome:
-    """How an answer ended, known once it is complete.
+class CompletionOutcome:
+    """Result of a completion, known once its response is complete.
 
     :param upstream: the engine that completed it.
-    :param attempts: engines it was sent to.
-    :param usage: the engine's usage piece, or ``None``.
+    :param attempts: number of engines it was sent to.
+    :param usage: the engine's usage chunk, or ``None``.
     """
 
     upstream: str
@@ -94,7 +96,7 @@
 
 @attrs.define
 class _Attempts:
-    """What the attempts at one completion have come to so far."""
+    """State of one completion across its attempts."""
 
     upstream: str = ""
     count: int = 0
@@ -109,37 +111,37 @@
     last_chunk_s: float = 0.0
 
 
-class CompletionAnswer:
-    """An answer being served: iterate its pieces, then read its outcome.
+class CompletionResponse:
+    """A response being served: iterate over its chunks, then read its outcome.
 
-    :param pieces: the generator that serves it.
-    :param attempts: what serving it has come to.
+    :param chunks: the generator of chunks.
+    :param attempts: the state of its attempts.
     """
 
-    def __init__(self, pieces: Iterator[EngineChunk], attempts: _Attempts) -> None:
-        self._pieces = pieces
+    def __init__(self, chunks: Iterator[EngineChunk], attempts: _Attempts) -> None:
+        self._chunks = chunks
         self._attempts = attempts
-        self.outcome: AnswerOutcome | None = None
+        self.outcome: CompletionOutcome | None = None
 
     @property
     def upstream(self) -> str:
-        """The engine that serves it now."""
+        """The engine that currently serves it."""
         return self._attempts.upstream
 
     def __iter__(self) -> Iterator[EngineChunk]:
-        self.outcome = yield from self._pieces
+        self.outcome = yield from self._chunks
 
     def close(self) -> None:
-        """Stop serving (the caller left); the engine's work is cancelled."""
-        self._pieces.close()
+        """Cancel the work on the engine (the caller disconnected)."""
+        self._chunks.close()
 
 
 class CompletionServer:
     """Serves completions on engines.
 
     :param router: chooses engines.
-    :param engines: talks to them.
-    :param parts: what every request passes through.
+    :param engines: sends requests to them.
+    :param parts: the dependencies shared with other servers.
     """
 
     def __init__(
@@ -149,22 +151,23 @@
         self._engines = engines
         self._parts = parts
 
-    def serve(self, completion: Completion) -> CompletionAnswer:
-        """Return the answer to ``completion``; iterating it serves it.
+    def serve(self, completion: Completion) -> CompletionResponse:
+        """Return the response to ``completion``; iterating over it does the work.
 
-        Iterating raises the typed failure that ended it, if any;
-        :func:`~kumquatseam.serving.may_have_run` tells what it promises.
+        Iteration raises the typed error that ended the request, if any;
+        :func:`~kumquatseam.serving.may_have_run` tells whether the request may
+        have run.
         """
         attempts = _Attempts()
-        return CompletionAnswer(self._serve(completion, attempts), attempts)
+        return CompletionResponse(self._serve(completion, attempts), attempts)
 
     def _serve(self, completion: Completion, attempts: _Attempts):
         parts = self._parts
         parts.retry_budget.record_request()
         attempts.tokens = tuple(tokenize(completion.prompt))
         team, key = completion.team, completion.idempotency_key
-        claimed = parts.claimed(team.name, key, completion.request_id)
-        with parts.limiter.running_request(team), claimed:
+        claim = parts.hold_claim(team.name, key, completion.request_id)
+        with parts.limiter.running_request(team), claim:
             try:
                 return (yield from self._attempt_all(completion, attempts))
             finally:
@@ -185,7 +188,7 @@
         self, completion: Completion, attempts: _Attempts, permission: RunPermission
     ):
         while True:
-            self._ask(permission, attempts)
+            self._acquire_permission(permission, attempts)
             decision = self._route(completion, attempts)
             attempts.count += 1
             attempts.upstream = decision.upstream.name
@@ -194,40 +197,42 @@
                 yield from self._attempt(completion, decision, attempts)
             except EngineMismatchError as error:
                 permission.note_refused()
-                self._take_mismatch(completion, decision, attempts, error)
+                self._handle_mismatch(completion, decision, attempts, error)
                 continue
             except UpstreamError as error:
                 attempts.may_have_run |= error.started
                 if attempts.finished:
-                    # Every token arrived; only the end of the body is missing.
+                    # All tokens were received; only the end of the body is missing.
                     return self._outcome(decision, attempts)
-                self._note_broken(permission, decision, attempts, error)
-                self._take_failure(completion, decision, attempts, error)
+                self._note_interrupted(permission, decision, attempts, error)
+                self._handle_failure(completion, decision, attempts, error)
                 continue
             return self._outcome(decision, attempts)
 
-    def _ask(self, permission: RunPermission, attempts: _Attempts) -> None:
-        """Ask whether the completion may run now.
+    def _acquire_permission(
+        self, permission: RunPermission, attempts: _Attempts
+    ) -> None:
+        """Acquire permission for the next attempt from the quarantine.
 
-        :raises KumquatseamError: if it may not.
+        :raises KumquatseamError: if it is refused.
         """
         try:
-            permission.acquire(RUN_LASTS_S)
+            permission.acquire(MAX_RUN_DURATION_S)
         except QuarantinedError as error:
             if attempts.may_have_run:
                 raise UpstreamError(attempts.upstream, True, str(error)) from error
             raise
 
-    def _note_broken(
+    def _note_interrupted(
         self,
         permission: RunPermission,
         decision: RoutingDecision,
         attempts: _Attempts,
         error: UpstreamError,
     ) -> None:
-        """Take in how an attempt failed; its engine may have crashed.
+        """Report a failed attempt to the quarantine; the engine may have crashed.
 
-        :raises UpstreamError: if it was on trial, which is not tried twice.
+        :raises UpstreamError: if the attempt was a trial, which is not retried.
         """
         if not error.started:
             permission.note_refused()
@@ -241,15 +246,17 @@
             self._router.fleet.is_leaving(name),
             is_gone=epoch is not None and epoch != decision.epoch,
         )
-        # Up to its last token: the end may be noticed much later.
+        # Measured to the last token: the failure may be detected much later.
         answering_s = attempts.last_chunk_s - first_s if first_s is not None else None
         permission.note_interrupted(upstream, answering_s)
         if permission.is_trial:
             raise error
 
-    def _outcome(self, decision: RoutingDecision, attempts: _Attempts) -> AnswerOutcome:
+    def _outcome(
+        self, decision: RoutingDecision, attempts: _Attempts
+    ) -> CompletionOutcome:
         self._router.record_served(decision)
-        return AnswerOutcome(decision.upstream.name, attempts.count, attempts.usage)
+        return CompletionOutcome(decision.upstream.name, attempts.count, attempts.usage)
 
     def _route(self, completion: Completion, attempts: _Attempts) -> RoutingDecision:
         request = RoutingRequest(
@@ -266,13 +273,13 @@
         except NoUpstreamError:
             if attempts.may_have_run:
                 last = ", ".join(sorted(attempts.excluded))
-                raise UpstreamError(last, True, "no engine left to go on at") from None
+                raise UpstreamError(last, True, "no engine left to resume on") from None
             raise
 
     def _attempt(
         self, completion: Completion, decision: RoutingDecision, attempts: _Attempts
     ):
-        """Yield what one engine adds to the answer."""
+        """Yield the chunks that one engine adds to the response."""
         name = decision.upstream.name
         self._parts.running.put(
             RunningRequest(
@@ -314,14 +321,14 @@
             chunks.close()
             self._router.fleet.remove_in_flight(name, completion.priority.rank)
 
-    def _take_mismatch(
+    def _handle_mismatch(
         self,
         completion: Completion,
         decision: RoutingDecision,
         attempts: _Attempts,
         error: EngineMismatchError,
     ) -> None:
-        """Take the engine's word on its weights and life, then route again."""
+        """Record the weights and epoch that the engine reports, before rerouting."""
         name = decision.upstream.name
         attempts.mismatches += 1
         if attempts.mismatches > MAX_MISMATCHES:
@@ -336,14 +343,14 @@
             error.version,
         )
 
-    def _take_failure(
+    def _handle_failure(
         self,
         completion: Completion,
         decision: RoutingDecision,
         attempts: _Attempts,
         error: UpstreamError,
     ) -> None:
-        """Decide whether the request may go on at another engine.
+        """Check whether the request may be retried on another engine.
 
         :raises KumquatseamError: if it may not.
         """
--- a/src/kumquatseam/serving/_parts.py
+++ b/src/kumquatseam/serving/_parts.py
@@ -1,4 +1,4 @@
-"""What serving completions and plain calls share."""
+"""Dependencies shared by the serving of completions and service calls."""
 
 import contextlib
 import time
@@ -18,14 +18,14 @@
 
 @attrs.frozen
 class ServingParts:
-    """The parts every request passes through.
-
-    :param claims: keeps claims; ``None`` without a log service.
-    :param limiter: bounds what teams have running.
-    :param retry_budget: bounds retries.
-    :param admission: the number of attempts.
-    :param running: told what runs where.
-    :param quarantine: keeps back ends from requests that crash them.
+    """Dependencies that serving any request needs.
+
+    :param claims: records claims; ``None`` without a log service.
+    :param limiter: limits the running requests of each team.
+    :param retry_budget: limits retries.
+    :param admission: settings, of which the maximum number of attempts is used.
+    :param running: the table of running requests.
+    :param quarantine: protects back ends from requests that crash them.
     :param clock: monotonic clock in seconds.
     """
 
@@ -38,12 +38,12 @@
     clock: Callable[[], float] = time.monotonic
 
     @contextlib.contextmanager
-    def claimed(self, team: str, key: str | None, request_id: str) -> Iterator[None]:
-        """Hold a claim on ``key``; give it up if the request never ran.
+    def hold_claim(self, team: str, key: str | None, request_id: str) -> Iterator[None]:
+        """Hold a claim on ``key``; release it if the request did not run.
 
-        :param key: ``None`` for a request that is not marked: nothing is held.
+        :param key: the idempotency key; without one (``None``) no claim is made.
         :raises AlreadyClaimedError: if an earlier request holds the key.
-        :raises ClaimUnavailableError: if the log did not take the claim.
+        :raises ClaimUnavailableError: if the claim could not be recorded.
         """
         if key is None:
             yield
--- a/src/kumquatseam/serving/_refusals.py
+++ b/src/kumquatseam/serving/_refusals.py
@@ -1,4 +1,4 @@
-"""What was refused lately and whether it may have run."""
+"""Recent refusals, and whether the refused requests may have run."""
 
 import collections
 import time
@@ -13,14 +13,14 @@
     UpstreamError,
 )
 
-KEPT = 1000
+MAX_KEPT_REFUSALS = 1000
 
 
 def may_have_run(error: KumquatseamError) -> bool:
     """Return whether a failed request may have run on some back end.
 
-    Every other failure is raised before anything was sent, or after a back
-    end said it did not run the request.
+    All other errors are raised before the request was sent, or after a back end
+    reported that it did not run it.
     """
     if isinstance(error, UpstreamError | RetryBudgetError):
         return error.started
@@ -33,10 +33,10 @@
 
     :param request_id: the router's id.
     :param team: the caller's team.
-    :param target: the model or service asked for.
-    :param reason: the failure's class, e.g. ``"OverloadedError"``.
+    :param target: the requested model or service.
+    :param reason: name of the error class, e.g. ``"OverloadedError"``.
     :param may_have_run: whether some back end may have run it.
-    :param refused_s: monotonic time.
+    :param refused_s: monotonic time of the refusal.
     """
 
     request_id: str
@@ -48,19 +48,21 @@
 
 
 class RefusalLog:
-    """The newest refusals, for operators' queries.
+    """The most recent refusals, for operators' queries.
 
     :param clock: monotonic clock in seconds.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
-        self._refusals: collections.deque[Refusal] = collections.deque(maxlen=KEPT)
+        self._refusals: collections.deque[Refusal] = collections.deque(
+            maxlen=MAX_KEPT_REFUSALS
+        )
 
-    def note(
+    def record(
         self, request_id: str, team: str, target: str, error: KumquatseamError
     ) -> Refusal:
-        """Remember that a request was refused."""
+        """Record and return the refusal of a request."""
         refusal = Refusal(
             request_id,
             team,
@@ -73,7 +75,7 @@
         return refusal
 
     def since(self, age_s: float | None) -> list[Refusal]:
-        """Return the refusals of the last ``age_s`` seconds (none: all kept)."""
+        """Return refusals of the last ``age_s`` seconds (``None``: all kept ones)."""
         if age_s is None:
             return list(self._refusals)
         oldest_s = self._clock() - age_s
--- a/src/kumquatseam/serving/_running.py
+++ b/src/kumquatseam/serving/_running.py
@@ -1,4 +1,4 @@
-"""Which requests run now, for operators' queries and for draining."""
+"""The table of running requests, for operators' queries and for draining."""
 
 import attrs
 
@@ -11,8 +11,8 @@
     :param team: the caller's team.
     :param target: the model or service.
     :param upstream: the back end it runs on.
-    :param priority_class: its class.
-    :param started_s: monotonic time it arrived.
+    :param priority_class: its priority class.
+    :param started_s: monotonic time at which its current attempt started.
     """
 
     request_id: str
@@ -24,17 +24,17 @@
 
 
 class RunningRequests:
-    """The requests being served, by id."""
+    """The requests being served, by request id."""
 
     def __init__(self) -> None:
         self._requests: dict[str, RunningRequest] = {}
 
     def put(self, request: RunningRequest) -> None:
-        """Add a request, or replace it when it moves to another back end."""
+        """Add a request, or replace its entry when it moves to another back end."""
         self._requests[request.request_id] = request
 
     def remove(self, request_id: str) -> None:
-        """Forget a request that ended."""
+        """Remove a request that ended, if present."""
         self._requests.pop(request_id, None)
 
     def all(self) -> list[RunningRequest]:
--- a/src/kumquatseam/serving/_services.py
+++ b/src/kumquatseam/serving/_services.py
@@ -1,8 +1,8 @@
-"""Serving a call to a plain service.
+"""Serving of calls to plain services.
 
-A call whose method is repeatable may be sent to a second replica after any
-failure; any other is sent on only if it provably did not run, and with an
-idempotency key it is claimed in the log first.
+A call with a repeatable method is retried on another replica after any failure.
+Any other call is retried only if it provably did not run. A call with an
+idempotency key is never treated as repeatable, and is claimed in the log first.
 """
 
 import itertools
@@ -29,25 +29,26 @@
 
 _log = part_logger("services")
 
-#: how long a call under which replicas crashed is taken to run, at most.
-RUN_LASTS_S = 30.0
-#: a replica that crashed takes about this long to start again. Replicas say nothing
-#: of their incarnation, so what is lost within this time counts as one crash.
+#: assumed maximum run time of a call that is suspected of crashing replicas.
+MAX_RUN_DURATION_S = 30.0
+#: approximate restart time of a crashed replica. Replicas do not report an
+#: incarnation, so calls interrupted within the same interval of this length count as
+#: one crash.
 REPLICA_START_S = 10.0
 
 
 class ServiceServer:
     """Serves calls on plain services.
 
-    :param services: talks to them.
-    :param parts: what every request passes through.
+    :param services: the client for service calls.
+    :param parts: the dependencies shared with other servers.
     """
 
     def __init__(self, services: ServiceClient, parts: ServingParts) -> None:
         self._services = services
         self._parts = parts
         self._turn = itertools.count()
-        self._held_out = FailureCooldowns()
+        self._cooldowns = FailureCooldowns()
 
     def serve(
         self,
@@ -56,17 +57,17 @@
         call: ServiceCall,
         idempotency_key: str | None,
     ) -> ServiceResponse:
-        """Return the whole answer to ``call``.
+        """Return the complete response to ``call``.
 
-        :raises KumquatseamError: the typed failure that ended it;
-            :func:`~kumquatseam.serving.may_have_run` tells what it promises.
+        :raises KumquatseamError: the typed error that ended it;
+            :func:`~kumquatseam.serving.may_have_run` tells whether it may have run.
         """
         parts = self._parts
         parts.retry_budget.record_request()
-        is_marked = idempotency_key is not None
-        repeatable = call.method in service.repeatable_methods and not is_marked
-        claimed = parts.claimed(team.name, idempotency_key, call.request_id)
-        with parts.limiter.running_request(team), claimed:
+        has_key = idempotency_key is not None
+        repeatable = call.method in service.repeatable_methods and not has_key
+        claim = parts.hold_claim(team.name, idempotency_key, call.request_id)
+        with parts.limiter.running_request(team), claim:
             try:
                 return self._attempt_all(team, service, call, repeatable)
             finally:
@@ -79,18 +80,18 @@
         call: ServiceCall,
         repeatable: bool,
     ) -> ServiceResponse:
-        asked = fingerprint(
+        call_fingerprint = fingerprint(
             team.name, call.method.encode(), service.name, call.path.encode(), call.body
         )
-        permission = RunPermission(self._parts.quarantine, asked)
+        permission = RunPermission(self._parts.quarantine, call_fingerprint)
         try:
-            answer = self._attempt_permitted(
+            response = self._attempt_permitted(
                 team, service, call, repeatable, permission
             )
         finally:
             permission.close()
         permission.note_answered()
-        return answer
+        return response
 
     def _attempt_permitted(
         self,
@@ -103,7 +104,7 @@
         started = False
         excluded: set[str] = set()
         for attempt in itertools.count(1):
-            self._ask(permission, service, started)
+            self._acquire_permission(permission, service, started)
             url = self._choose(service, excluded)
             if url is None:
                 if started:
@@ -132,9 +133,9 @@
                 return self._services.call(url, call)
             except UpstreamError as error:
                 started |= error.started
-                self._note_broken(permission, url, error)
+                self._note_interrupted(permission, url, error)
                 excluded.add(url)
-                self._held_out.start(url, self._parts.clock())
+                self._cooldowns.start(url, self._parts.clock())
                 last_attempt = attempt >= self._parts.admission.max_attempts
                 if last_attempt or (started and not repeatable):
                     raise UpstreamError(url, started, error.detail) from error
@@ -142,25 +143,27 @@
                     raise RetryBudgetError(url, started) from error
 
     @staticmethod
-    def _ask(
+    def _acquire_permission(
         permission: RunPermission, service: ServiceSettings, started: bool
     ) -> None:
-        """Ask whether the call may run now.
+        """Acquire permission for the next attempt from the quarantine.
 
-        :raises KumquatseamError: if it may not.
+        :raises KumquatseamError: if it is refused.
         """
         try:
-            permission.acquire(RUN_LASTS_S)
+            permission.acquire(MAX_RUN_DURATION_S)
         except QuarantinedError as error:
             if started:
                 raise UpstreamError(service.name, True, str(error)) from error
             raise
 
     @staticmethod
-    def _note_broken(permission: RunPermission, url: str, error: UpstreamError) -> None:
-        """Take in how an attempt failed; its replica may have crashed.
+    def _note_interrupted(
+        permission: RunPermission, url: str, error: UpstreamError
+    ) -> None:
+        """Report a failed attempt to the quarantine; the replica may have crashed.
 
-        :raises UpstreamError: if it was on trial, which is not tried twice.
+        :raises UpstreamError: if the attempt was a trial, which is not retried.
         """
         if not error.started:
             permission.note_refused()
@@ -172,11 +175,16 @@
             raise error
 
     def _choose(self, service: ServiceSettings, excluded: set[str]) -> str | None:
-        """Return the next replica in turn, one that failed lately last."""
+        """Return the next replica in round-robin order.
+
+        Replicas that failed recently are chosen only if no other is left.
+        """
         now_s = self._parts.clock()
-        open_urls = [url for url in service.urls if url not in excluded]
-        if not open_urls:
+        remaining = [url for url in service.urls if url not in excluded]
+        if not remaining:
             return None
-        sound = [url for url in open_urls if not self._held_out.is_active(url, now_s)]
-        choices = sound or open_urls
+        healthy = [
+            url for url in remaining if not self._cooldowns.is_active(url, now_s)
+        ]
+        choices = healthy or remaining
         return choices[next(self._turn) % len(choices)]
--- a/src/kumquatseam/status.py
+++ b/src/kumquatseam/status.py
@@ -1,4 +1,4 @@
-"""The ``/kumquatseam/status`` object: one daemon's figures at a glance."""
+"""The ``/kumquatseam/status`` object: state and metrics of one daemon."""
 
 import time
 from collections.abc import Callable
@@ -9,18 +9,18 @@
 from kumquatseam.metrics.figures import RequestStatistics
 from kumquatseam.routing import Router
 
-#: the percentile of time to first token shown per priority class.
+#: percentile of the time to first token that is reported per priority class.
 CLASS_PERCENTILE = 99
 
 
 class DaemonStatus:
-    """Reads a daemon's own state for the status page.
+    """Builds the status object of a daemon.
 
-    :param live: the configuration in force.
-    :param router: its view of the engines.
-    :param figures: the users' measures so far.
-    :param count_routers: how many routers are alive, this one included.
-    :param read_control_bytes: bytes exchanged with peers so far.
+    :param live: the active configuration.
+    :param router: the router, with its view of the engines.
+    :param figures: request metrics since the start.
+    :param count_routers: returns the number of live routers, including this one.
+    :param read_control_bytes: returns the bytes exchanged with peers so far.
     """
 
     def __init__(
--- a/src/kumquatseam/wiring.py
+++ b/src/kumquatseam/wiring.py
@@ -1,8 +1,8 @@
-"""The composition root: builds every part of the daemon and owns their order.
+"""The composition root: builds the components of the daemon and orders them.
 
-:func:`build_daemon` is the only place that constructs parts and hands them to
-each other. :class:`PartGroup` starts them in dependency order and closes them in
-reverse; failures while closing are raised together as an exception group.
+:func:`build_daemon` is the only place that constructs and connects them.
+:class:`PartGroup` starts them in dependency order and closes them in reverse;
+errors while closing are raised together as an exception group.
 """
 
 import time
@@ -76,21 +76,21 @@
 
 _log = part_logger("daemon")
 
-#: seconds between two sweeps for engines that went silent.
+#: interval of the sweeps for engines and peers that stopped sending, in seconds.
 SWEEP_INTERVAL_S = 0.5
-#: seconds between two steps of a fleet duty.
-DUTY_INTERVAL_S = 0.25
-FLEET_DUTY = "fleet"
-#: timeout of an order to an engine.
+#: interval of the tasks of the fleet lease's holder, in seconds.
+LEASE_STEP_INTERVAL_S = 0.25
+FLEET_LEASE = "fleet"
+#: timeout of an order to an engine, in seconds.
 ORDER_TIMEOUT_S = 2.0
-#: blocks in a warm state at most (9 bytes each on the wire).
+#: maximum number of blocks in a warm state (9 bytes each on the wire).
 WARM_STATE_BLOCKS = 12_000
 
 
 def build_daemon(settings: Settings, policy_name: str | None = None) -> PartGroup:
     """Build a daemon from settings.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     :param policy_name: overrides ``[daemon] policy`` when given.
     :returns: the daemon, not yet started.
     """
@@ -98,7 +98,7 @@
 
 
 class _DaemonBuilder:
-    """Builds the parts of one daemon; each method wires one concern."""
+    """Builds the components of one daemon, one concern per method."""
 
     def __init__(self, settings: Settings, policy_name: str | None) -> None:
         self._settings = settings
@@ -159,7 +159,7 @@
         return daemon
 
     def _build_quarantine(self) -> Quarantine:
-        """Return what keeps back ends from requests that crash them."""
+        """Return the quarantine, which protects back ends from crashing requests."""
         name, log = self._settings.daemon.instance_name, self._log_service
         link: DatagramLink = NullDatagramLink()
         routers = RouterRecords(name, self._membership)
@@ -206,10 +206,10 @@
         membership = self._membership
         lease = DutyLease(
             self._log_service,
-            FLEET_DUTY,
+            FLEET_LEASE,
             name,
             settings.fleet.lease_s,
-            lambda: membership.lease_rank(FLEET_DUTY) if membership else 0,
+            lambda: membership.lease_rank(FLEET_LEASE) if membership else 0,
         )
         rollout = WeightsRollout(
             self._live,
@@ -224,7 +224,7 @@
             settings.log.snapshot_interval_s,
             self._warm_state,
         )
-        duty = StepLoop(DUTY_INTERVAL_S, lease.step, rollout.step, snapshots.step)
+        duty = StepLoop(LEASE_STEP_INTERVAL_S, lease.step, rollout.step, snapshots.step)
         return [self._log_service, follower, self._claims, duty]
 
     def _fleet_parts(self) -> list:
@@ -232,7 +232,9 @@
         if self._membership is not None:
             parts += self._peer_parts(self._membership)
         if self._log_service is not None or self._membership is not None:
-            parts.append(WarmStart(self._log_service, self._membership, self._adopt))
+            parts.append(
+                WarmStart(self._log_service, self._membership, self._merge_warm_state)
+            )
         return parts
 
     def _peer_parts(self, membership: Membership) -> list:
@@ -261,7 +263,7 @@
             settings,
             lambda: self._live.next_offset,
             summaries.build_summary,
-            handler.receive_reply,
+            handler.on_heartbeat_reply,
         )
         self._control = ReplyServer(settings.control, CONTROL_CODEC, handler.reply)
         parts: list = [self._control]
@@ -285,7 +287,7 @@
             InstanceWatcher(
                 self._instances,
                 settings.instances.poll_interval_s,
-                self._take_instances,
+                self._apply_instances,
             )
         ]
         if self._membership is not None:
@@ -329,15 +331,15 @@
     def _count_routers(self) -> int:
         return self._membership.count_alive() if self._membership else 1
 
-    def _take_instances(self, instances: Iterable[Instance]) -> None:
+    def _apply_instances(self, instances: Iterable[Instance]) -> None:
         leaving = [i.name for i in instances if i.state == LEAVING]
         for name in self._router.fleet.set_leaving(leaving):
-            _log.info("Engine {} is leaving; it gets no new work.", name)
+            _log.info("Engine {} is leaving; no new requests are sent to it.", name)
         if self._membership is not None:
             self._membership.set_listed(router_addresses(instances))
 
     def _control_bytes(self) -> int:
-        """Return the bytes exchanged with peers, sent and received."""
+        """Return the number of bytes exchanged with peers in both directions."""
         if self._heartbeats is None:
             return 0
         return self._heartbeats.bytes_exchanged + self._control.bytes_exchanged
@@ -346,7 +348,7 @@
         name = self._settings.daemon.instance_name
         return WarmState(name, self._router.index.export(WARM_STATE_BLOCKS))
 
-    def _adopt(self, state: WarmState) -> int:
+    def _merge_warm_state(self, state: WarmState) -> int:
         now_s = time.monotonic()
         index = self._router.index
         return sum(index.merge(blocks, now_s) for blocks in state.engines)
