--- a/features/starts.feature
+++ b/features/starts.feature
@@ -1,15 +1,15 @@
-Feature: What a start costs
-  Hundreds of instances start together, and each is restarted in turn. A start
-  takes what it needs from the log in a handful of calls and loads little code.
+Feature: Cost of starting an instance
+  Hundreds of instances may start at the same time, and each is restarted in
+  turn. A start must need few log service calls and load little code.
 
-  Scenario: A gateway loads only what it uses
+  Scenario: A gateway imports only modules that it uses
     When the gateway's program is loaded
     Then none of these was loaded: kumquatseam.fleet, kumquatseam.engines, kumquatseam.callers, kumquatseam.standins, prometheus_client, lark, fire
-    And each module of our own that was loaded is used by another one
-    And their code takes at most 1 percent of an instance of 128 MB
+    And each loaded module of this project is used by another one
+    And their code takes at most 1 percent of the memory of an instance of 128 MB
 
-  Scenario Outline: Instances that start together do not all read for the others
-    Given <count> instances that start together and know each other after 0.6 seconds
+  Scenario Outline: One of the instances that start together reads the log for the others
+    Given <count> instances that start together and discover each other after 0.6 seconds
     When 5 seconds pass
     Then the log was called at most <calls> times in all
     And 1 instances read it
@@ -19,37 +19,37 @@
       | 13    | 31    |
       | 195   | 213   |
 
-  Scenario: An instance outside the council never reads for the others
-    Given 195 instances that start together and know each other after 0.6 seconds
+  Scenario: An instance that is no coordinator never reads the log for the others
+    Given 195 instances that start together and discover each other after 0.6 seconds
     When 5 seconds pass
     And those that read are cut off from all
     And 3 seconds pass
-    Then all readers are in the council
+    Then all readers are coordinators
 
-  Scenario: An instance that does not know the others yet looks again soon
-    Given 13 instances that start together and know each other after 0.6 seconds
+  Scenario: An instance that has not discovered the others yet checks again soon
+    Given 13 instances that start together and discover each other after 0.6 seconds
     When 0.3 seconds pass
-    Then each looks again within 0.2 seconds whether to read
+    Then each checks again within 0.2 seconds whether to read
     When 3 seconds pass
-    Then those outside the council look again when their copies grow old
+    Then those that are no coordinators check again when their copies expire
 
-  Scenario: A contender that hears of renewals does not look at the log
-    Given a holder of a duty that tells of its renewals, and a contender
+  Scenario: A contender that receives the renewals does not read the log
+    Given a lease holder that broadcasts its renewals, and a contender
     When 10 seconds of renewals pass
     Then the contender called the log at most once
 
-  Scenario: A contender takes the duty when the holder falls silent
-    Given a holder of a duty that tells of its renewals, and a contender
+  Scenario: A contender acquires the lease when the holder stops its renewals
+    Given a lease holder that broadcasts its renewals, and a contender
     When 10 seconds of renewals pass
-    And the holder falls silent
-    Then the contender holds the duty within 7 seconds, and not before 3
+    And the holder stops
+    Then the contender holds the lease within 7 seconds, and not before 3
 
-  Scenario: An instance that does not contend leaves the log alone
-    Given an instance that may not hold a duty
+  Scenario: An instance that may not hold the lease does not call the log
+    Given an instance that may not hold a lease
     When it steps for 20 seconds
     Then it called the log 0 times
 
-  Scenario Outline: A switch in the settings
+  Scenario Outline: A boolean key in the settings
     Given gateway settings with "is_first_start = <text>"
     Then they are <outcome>
 
--- a/features/steps/own_modules.py
+++ b/features/steps/own_modules.py
@@ -1,4 +1,4 @@
-"""What the modules of our own that a program loads need of each other."""
+"""Imports between the modules of this project that a program has loaded."""
 
 import ast
 import importlib.util
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class OwnModules:
-    """Modules of our own and their sources.
+    """Modules of this project and their source files.
 
     :param paths: source files by module name.
     """
@@ -21,36 +21,36 @@
 
     @classmethod
     def find(cls, names: list[str]) -> "OwnModules":
-        """Return those of the modules named that are ours."""
+        """Return the modules among ``names`` that belong to this project."""
         own = [name for name in names if name.split(".")[0] == _PACKAGE]
         specs = [importlib.util.find_spec(name) for name in own]
         return cls({spec.name: Path(spec.origin) for spec in specs})
 
     def unused(self) -> list[str]:
-        """Return the modules of which no other one takes anything.
+        """Return the modules from which no other module imports a name.
 
-        What a package only passes on is not used by that; a program's entry point
-        is used by whoever starts it.
+        A re-export in a package's ``__init__`` is not a use. A program's
+        ``__main__`` is exempt.
         """
-        taken = set()
+        imported = set()
         for name, path in self.paths.items():
             if path.name != "__init__.py":
-                taken |= _names_taken(path, name)
+                imported |= _imported_names(path, name)
         return [
             name
             for name, path in self.paths.items()
             if path.name not in ("__init__.py", "__main__.py")
-            and not taken & self._names_offered(name)
+            and not imported & self._importable_names(name)
         ]
 
     def code_bytes(self) -> int:
-        """Return how much compiled code they have."""
+        """Return the total size of their compiled code."""
         return sum(len(marshal.dumps(_compiled(path))) for path in self.paths.values())
 
-    def _names_offered(self, name: str) -> set[str]:
-        """Return all names under which others can take what a module defines."""
+    def _importable_names(self, name: str) -> set[str]:
+        """Return the qualified names by which others can import its definitions."""
         package = name.rpartition(".")[0]
-        defined = _names_defined(self.paths[name])
+        defined = _defined_names(self.paths[name])
         return {name} | {f"{where}.{n}" for where in (name, package) for n in defined}
 
 
@@ -58,17 +58,17 @@
     return compile(path.read_text(), str(path), "exec")
 
 
-def _names_taken(path: Path, importer: str) -> set[str]:
-    taken = set()
+def _imported_names(path: Path, importer: str) -> set[str]:
+    imported = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module != importer:
-            taken |= {f"{node.module}.{alias.name}" for alias in node.names}
+            imported |= {f"{node.module}.{alias.name}" for alias in node.names}
         elif isinstance(node, ast.Import):
-            taken |= {alias.name for alias in node.names}
-    return taken
+            imported |= {alias.name for alias in node.names}
+    return imported
 
 
-def _names_defined(path: Path) -> set[str]:
+def _defined_names(path: Path) -> set[str]:
     defined = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef):
--- a/features/steps/platform_replica.py
+++ b/features/steps/platform_replica.py
@@ -1,8 +1,8 @@
-"""A stand-in replica that speaks the platform's wire, for the tests.
+"""A stand-in replica that implements the platform's protocol, for the tests.
 
-One class serves as model replica (event streams, orders, reports, moves of
-runs) and as plain service. What it does wrong is scripted a request at a time:
-``script`` holds faults that are used up one by one.
+One class serves as model replica (event streams, load orders, reports, moves of
+runs) and as plain service. Faults are injected per request: each request takes
+the next entry of ``script``.
 """
 
 import collections
@@ -17,13 +17,13 @@
 import attrs
 
 SIGNATURE = "3e1b.07.5a2"
-#: a replica that a request crashes gets this far with it.
+#: how long a request runs before it crashes the replica.
 CRASHES_AFTER_S = 0.05
 
 
 @attrs.define
 class SeenRequest:
-    """A request as it reached the replica."""
+    """A request that reached the replica, and how far it got."""
 
     method: str
     path: str
@@ -36,15 +36,15 @@
 
 
 class StandinReplica:
-    """One replica on a loopback port.
+    """A replica on a loopback port.
 
     :param upstream_id: its id.
-    :param version: weights it starts with; ``None`` for a plain service.
-    :param events: events of a whole stream.
+    :param version: weights version at the start; ``None`` for a plain service.
+    :param events: number of events in a complete stream.
     :param event_pause_s: pause between two events.
-    :param load_s: how long a load takes.
-    :param crashes_on: a request with this in its path crashes the replica as it
-        begins to run it.
+    :param load_s: duration of a load of weights.
+    :param crashes_on: a request whose path contains this crashes the replica
+        shortly after it starts to run.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.event_pause_s = event_pause_s
         self.load_s = load_s
         self.crashes_on = crashes_on
-        #: told that this replica crashed.
+        #: called with this replica after it crashed.
         self.on_crash = lambda replica: None
         self.script = collections.deque()
         self.seen: list[SeenRequest] = []
@@ -74,12 +74,13 @@
         self.loading = False
         self.running = 0
         self.stopped_runs: dict[str, int] = {}
-        #: handles of runs copied to this replica; each good for one use.
+        #: handles of runs copied to this replica; each can be used once.
         self.copies: set[str] = set()
-        #: tokens kept by scope and part, and what was told of that.
-        self.kept: dict[tuple[str, str], int] = {}
-        self.events_made: list[list] = []
-        #: finds another replica by its address, to copy a run there.
+        #: tokens of the cached prompt parts by cache salt and part id.
+        self.cached_parts: dict[tuple[str, str], int] = {}
+        #: cache events served to pollers.
+        self.cache_events: list[list] = []
+        #: looks up another replica by its address, to copy a run to it.
         self.find = lambda address: None
         self.incarnations = 1
         self.misdirected = 0
@@ -116,9 +117,9 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def restart(self):
-        """Start again under the same id: nothing of before is left.
+        """Simulate a restart under the same id: clear the order and cache state.
 
-        Open connections break, which tells callers of them that it crashed.
+        Open connections are closed, so that their peers detect the crash.
         """
         self.born_ms += 1000
         self.sequence = 0
@@ -126,8 +127,8 @@
         self.loading = False
         self.stopped_runs.clear()
         self.copies.clear()
-        self.kept.clear()
-        self.events_made.clear()
+        self.cached_parts.clear()
+        self.cache_events.clear()
         self.incarnations += 1
         for connection in list(self._connections):
             with contextlib.suppress(OSError):
@@ -138,9 +139,9 @@
         self._server.server_close()
 
     def crash(self):
-        """End at once, as a process does: its port refuses, connections close."""
+        """Simulate a process crash: refuse new connections and close open ones."""
         threading.Thread(target=self._server.shutdown).start()
-        # Wakes the server's loop, which ends then, and refuses new connections.
+        # Wakes the server's accept loop so that it exits, and refuses new connections.
         self._server.socket.shutdown(socket.SHUT_RDWR)
         self._server.server_close()
         for connection in list(self._connections):
@@ -149,7 +150,7 @@
         self.on_crash(self)
 
     def entry(self, service, **more) -> bytes:
-        """Return its entry in the list of replicas."""
+        """Return the value of its record in the list of replicas."""
         fields = {
             "service": service,
             "address": self.address,
@@ -158,7 +159,7 @@
             "slots": 48,
             "state": "ready",
             "coldLeftMs": 0,
-            # Counts heartbeats here, and orders in a report.
+            # In an entry this counts heartbeats; in a report it counts load orders.
             "sequence": 1000 + self.sequence,
             "born": self.born_ms,
         }
@@ -166,7 +167,7 @@
             fields["models"] = [{"name": "m0", "version": self.version, "adapters": []}]
         return json.dumps({**fields, **more}).encode()
 
-    # Answering.
+    # Requests.
 
     def answer(self, http):
         body = http.rfile.read(int(http.headers.get("Content-Length") or 0))
@@ -175,17 +176,17 @@
             self.misdirected += 1
             self._send(http, 421, b"", {"X-Replica-Id": self.upstream_id})
         elif http.path == "/order":
-            self._take_order(http, json.loads(body))
+            self._handle_order(http, json.loads(body))
         elif http.path == "/report":
             self._send(http, 200, json.dumps(self._report()).encode())
         elif http.path == "/kv-list":
-            self._send(http, 200, json.dumps(self._cache_news(held=True)).encode())
+            self._send(http, 200, json.dumps(self._cache_update(held=True)).encode())
         elif http.path.startswith("/kv-events"):
             since = int(http.path.partition("since=")[2] or 0)
             wait_s = int(http.headers.get("Wait-Ms") or 0) / 1000
             self._wait_for_event(since, wait_s)
             with contextlib.suppress(BrokenPipeError):
-                self._send(http, 200, json.dumps(self._cache_news(since)).encode())
+                self._send(http, 200, json.dumps(self._cache_update(since)).encode())
         elif http.path == "/kv-move":
             self._move(http, json.loads(body))
         else:
@@ -212,7 +213,7 @@
         seen = SeenRequest(http.command, http.path, dict(http.headers), body)
         self.seen.append(seen)
         fault = self.script.popleft() if self.script else ""
-        wanted = http.headers.get("X-Expect-Version")
+        expected_version = http.headers.get("X-Expect-Version")
         headers = self._own_headers(http)
         if fault == "refuse" or (self.version is not None and self.loading):
             self._send(http, 503, b"", {**headers, "X-Not-Executed": "1"})
@@ -222,7 +223,7 @@
             self._send(http, 503, b"", {**headers, "X-Not-Executed": "1"})
             return
         self.copies.discard(copy)
-        if wanted is not None and int(wanted) != self.version:
+        if expected_version is not None and int(expected_version) != self.version:
             self._send(http, 421, b"", headers)
             return
         seen.ran = True
@@ -231,7 +232,7 @@
             time.sleep(CRASHES_AFTER_S)
             self.crash()
             return
-        self._keep(http)
+        self._cache_prompt(http)
         if fault == "reset":
             self._reset(http)
         elif fault == "hang":
@@ -280,7 +281,7 @@
         http.close_connection = True
 
     def _stream(self, http, seen, headers, fault):
-        """Send events; a ``break`` ends in the middle of the third one."""
+        """Send events; the fault ``break`` disconnects in the middle of the third."""
         first = int(http.headers.get("Last-Event-Id") or 0) + 1
         request_id = headers["X-Request-Id"]
         http.send_response(200)
@@ -318,35 +319,37 @@
         http.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
         http.wfile.flush()
 
-    # Kept parts.
+    # Cached prompt parts.
 
-    def _keep(self, http):
-        """Keep the parts of a prompt, under its scope."""
+    def _cache_prompt(self, http):
+        """Record the prompt's parts as cached under its cache salt."""
         salt = http.headers.get("X-Cache-Salt", "")
         for entry in filter(None, http.headers.get("X-Prompt-Prefix", "").split(",")):
             part_id, _, tokens = entry.partition(":")
-            if (salt, part_id) not in self.kept:
-                self.kept[salt, part_id] = int(tokens)
-                self.events_made.append(["+", salt, part_id, int(tokens), "m0"])
+            if (salt, part_id) not in self.cached_parts:
+                self.cached_parts[salt, part_id] = int(tokens)
+                self.cache_events.append(["+", salt, part_id, int(tokens), "m0"])
 
     def _wait_for_event(self, since, wait_s):
         deadline_s = time.monotonic() + wait_s
-        while len(self.events_made) <= since and time.monotonic() < deadline_s:
+        while len(self.cache_events) <= since and time.monotonic() < deadline_s:
             time.sleep(0.01)
 
-    def _cache_news(self, since=0, held=False):
-        news = {
+    def _cache_update(self, since=0, held=False):
+        update = {
             "epoch": self.incarnations,
-            "nextToken": len(self.events_made),
+            "nextToken": len(self.cache_events),
             "born": self.born_ms,
         }
         if held:
-            rows = [[s, p, tokens, "m0"] for (s, p), tokens in self.kept.items()]
-            return {**news, "held": rows}
-        events = [[n, *event] for n, event in enumerate(self.events_made)]
-        return {**news, "lost": False, "events": events[since:]}
+            rows = [
+                [s, p, tokens, "m0"] for (s, p), tokens in self.cached_parts.items()
+            ]
+            return {**update, "held": rows}
+        events = [[n, *event] for n, event in enumerate(self.cache_events)]
+        return {**update, "lost": False, "events": events[since:]}
 
-    # Orders.
+    # Load orders.
 
     def _report(self):
         return {
@@ -362,7 +365,7 @@
             "handles": 0,
         }
 
-    def _take_order(self, http, order):
+    def _handle_order(self, http, order):
         with self._lock:
             self.orders.append(order)
             if order["fence"] < self.fence:
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gateway on stand-ins of the users' platform."""
+"""Steps for the gateway process on stand-ins of the platform."""
 
 import contextlib
 import json
@@ -15,7 +15,7 @@
 from behave import given, then, when
 from platform_world import KEY, PlatformWorld, wait_until
 
-PIECES = [f"id: {n}\ndata: piece {n}\n\n" for n in range(1, 60)]
+EVENTS = [f"id: {n}\ndata: piece {n}\n\n" for n in range(1, 60)]
 
 
 @given("the platform's stand-ins")
@@ -58,17 +58,17 @@
     step_engine_gateway(context, count, events, pause_s=0.08)
 
 
-@given("a gateway that knows no configuration")
+@given("a gateway without a configuration")
 def step_unconfigured(context):
     step_platform(context)
     context.platform.add_gateway(wait=False)
     context.first = context.platform.gateways[0]
 
-    def answers():
+    def try_send():
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             return context.platform.send()
 
-    context.answer = wait_until("it answers", answers)
+    context.answer = wait_until("the gateway responds", try_send)
 
 
 # Requests.
@@ -92,7 +92,7 @@
     context.answer = context.platform.send(headers=forged)
 
 
-@then("the replica sees the team, its own id and less time, and nothing forged")
+@then("the replica gets the team, its own id, a shorter deadline and no forged header")
 def step_check_forged(context):
     (seen,) = [s for r in context.platform.replicas.values() for s in r.seen]
     headers = {name.lower(): value for name, value in seen.headers.items()}
@@ -117,7 +117,7 @@
 
 @when('a caller sends "{method}" to "{path}" and one replica\'s script is "{script}"')
 def step_scripted_one(context, method, path, script):
-    """Only the replica that gets the request first misbehaves."""
+    """Give the script to the replica that gets the first attempt only."""
     replicas = list(context.platform.replicas.values())
     original = replicas[0].__class__._serve
     used = []
@@ -151,7 +151,7 @@
 
 @then("the caller's answer has status {status:d}")
 def step_answer_status(context, status):
-    assert context.answer is not None, "no answer"
+    assert context.answer is not None, "no response"
     assert context.answer.status == status, context.answer.status
 
 
@@ -161,7 +161,7 @@
     assert "X-Replica-Signature" in context.answer.headers
 
 
-@then("the caller is told when to come back")
+@then("the caller gets a Retry-After header")
 def step_retry_after(context):
     assert 0 < float(context.answer.headers["Retry-After"]) < 5
 
@@ -172,7 +172,7 @@
     assert context.platform.runs() == count, context.platform.runs()
 
 
-@then("the next request on the same connection gets its own answer")
+@then("the next request gets its own response")
 def step_next_request(context):
     answer = context.platform.send("/plain/next")
     assert (answer.status, answer.data) == (200, b"whole"), answer.data
@@ -181,7 +181,10 @@
 # Streams.
 
 
-@when('a caller streams from "{path}" and its engine breaks off in an event')
+@when(
+    'a caller streams from "{path}" and its engine disconnects in the middle of an '
+    "event"
+)
 def step_break(context, path):
     step_scripted_one(context, "POST", path, "break")
 
@@ -189,8 +192,8 @@
 @then("the caller got every event once, in order")
 def step_every_event(context):
     count = next(iter(context.platform.replicas.values())).events
-    assert context.answer is not None, "the stream broke off"
-    assert context.answer.data.decode() == "".join(PIECES[:count]), context.answer.data
+    assert context.answer is not None, "the stream was interrupted"
+    assert context.answer.data.decode() == "".join(EVENTS[:count]), context.answer.data
 
 
 @then("the caller's stream ended visibly incomplete")
@@ -198,7 +201,7 @@
     assert context.answer is None, context.answer.data
 
 
-@when('{count:d} callers stream from "{path}" and new weights are named meanwhile')
+@when('{count:d} callers stream from "{path}" and new weights are released meanwhile')
 def step_streams_in_rollout(context, count, path):
     world = context.platform
     context.answers = []
@@ -223,7 +226,7 @@
 @then("every stream is whole, with every event once, in order")
 def step_all_whole(context):
     count = next(iter(context.platform.replicas.values())).events
-    whole = (200, "".join(PIECES[:count]))
+    whole = (200, "".join(EVENTS[:count]))
     assert all(answer == whole for answer in context.answers), context.answers
 
 
@@ -235,12 +238,15 @@
 @then("every engine soon runs version {version:d}, ordered under a fencing token")
 def step_version(context, version):
     replicas = context.platform.replicas.values()
-    wait_until("weights", lambda: all(r.version == version for r in replicas))
+    wait_until(
+        "every engine runs the new weights",
+        lambda: all(r.version == version for r in replicas),
+    )
     for replica in replicas:
         assert all(order["fence"] >= 0 for order in replica.orders), replica.orders
 
 
-@then("no more engines than may ever loaded at once, in {count:d} orders")
+@then("the engines got {count:d} load orders in all")
 def step_order_count(context, count):
     orders = sum(len(r.orders) for r in context.platform.replicas.values())
     assert orders == count, orders
@@ -271,7 +277,7 @@
     ).encode()
 
 
-def _answer_status(connection) -> int:
+def _read_status(connection) -> int:
     data = connection.recv(4096)
     return int(data.split(b" ", 2)[1]) if data else 0
 
@@ -295,10 +301,10 @@
 def step_raw(context, what):
     with _connect(context) as connection:
         connection.sendall(RAW_REQUESTS[what]())
-        context.status = _answer_status(connection)
+        context.status = _read_status(connection)
 
 
-@then("it is told {status:d} and nothing ran")
+@then("its response has status {status:d} and nothing ran")
 def step_raw_status(context, status):
     assert context.status == status, context.status
     assert context.platform.runs() == 0
@@ -312,7 +318,7 @@
         connection.sendall(b"4\r\nques\r\n")
         time.sleep(0.3)
         connection.sendall(b"4\r\ntion\r\n0\r\n\r\n")
-        context.status = _answer_status(connection)
+        context.status = _read_status(connection)
 
 
 @then("the replica gets the whole body")
@@ -321,25 +327,25 @@
     assert (context.status, seen.body) == (200, b"question"), seen
 
 
-@when("a caller leaves while its request hangs at the replica")
-def step_leave(context):
+@when("a caller disconnects while its request hangs at the replica")
+def step_disconnect(context):
     replica = context.platform.replicas["p0"]
     replica.script.append("hang")
     with _connect(context) as connection:
         connection.sendall(_head())
-        wait_until("it runs", lambda: replica.seen)
+        wait_until("the request runs", lambda: replica.seen)
     context.left_s = time.monotonic()
 
 
-@then("the replica's connection is closed at once")
+@then("the replica's connection is closed within 1 second")
 def step_closed(context):
     seen = context.platform.replicas["p0"].seen[0]
-    wait_until("closed", lambda: seen.ended)
+    wait_until("the replica's connection is closed", lambda: seen.ended)
     assert time.monotonic() - context.left_s < 1.0
     assert seen.ended == "left" or "Reset" in seen.ended, seen.ended
 
 
-# Configuration and the list.
+# Configuration and the list of replicas.
 
 
 @when("the first configuration is written")
@@ -348,8 +354,8 @@
     world.add_replica("plain", "p0")
     world.add_route("/plain/", "non_idempotent", "plain")
     world.put_configuration()
-    wait_until("ready", context.first.is_ready)
-    wait_until("list", lambda: world.knows_replicas(context.first))
+    wait_until("the gateway is ready", context.first.is_ready)
+    wait_until("the replica is listed", lambda: world.knows_replicas(context.first))
 
 
 @when("the operators move the route to another service")
@@ -365,16 +371,16 @@
     world = context.platform
     other = world.replicas["o0"]
 
-    def goes_there():
+    def reaches_other():
         before = len(other.seen)
         world.send()
         return len(other.seen) > before
 
-    wait_until("the new route is in force", goes_there, seconds)
+    wait_until("the new route is in effect", reaches_other, seconds)
 
 
-@when("an older configuration and nonsense follow")
-def step_old_and_nonsense(context):
+@when("an older configuration and invalid records follow")
+def step_old_and_invalid(context):
     world = context.platform
     world.put_operator_record("config", b"\xff not json")
     world.put_operator_record("config", b'{"version": 99}')
@@ -383,7 +389,7 @@
     time.sleep(0.3)
 
 
-@then("the newest configuration stays in force and the nonsense is logged")
+@then("the newest configuration stays in effect and the invalid records are logged")
 def step_stays(context):
     world = context.platform
     before = len(world.replicas["o0"].seen)
@@ -396,8 +402,8 @@
     assert "routes" in ignored[1]["error"], ignored
 
 
-@when("replica {upstream_id} reports that it leaves")
-def step_leaving(context, upstream_id):
+@when("replica {upstream_id} reports that it is draining")
+def step_draining(context, upstream_id):
     context.platform.list_replica(upstream_id, state="draining")
     time.sleep(1.0)
 
@@ -412,14 +418,14 @@
 
 
 @when("the address of replica {upstream_id} goes to another life")
-def step_other_life(context, upstream_id):
+def step_other_incarnation(context, upstream_id):
     context.platform.replicas[upstream_id].upstream_id = "reborn"
 
 
 # Stopping, settings and logs.
 
 
-@when("the gateway is told to stop while a request runs")
+@when("the gateway gets SIGTERM while a request runs")
 def step_stop(context):
     world = context.platform
     replica = world.replicas["e0"]
@@ -430,43 +436,43 @@
 
     thread = threading.Thread(target=stream)
     thread.start()
-    wait_until("it runs", lambda: replica.running)
+    wait_until("the request runs", lambda: replica.running)
     world.gateways[0].process.send_signal(signal.SIGTERM)
-    wait_until("not ready", lambda: not world.gateways[0].is_ready())
+    wait_until("the gateway is not ready", lambda: not world.gateways[0].is_ready())
     thread.join()
     context.answer = result["answer"]
 
 
-@then("the gateway ends by itself with code {code:d}")
+@then("the gateway exits with code {code:d}")
 def step_ends(context, code):
     assert context.platform.gateways[0].process.wait(6) == code
 
 
-@when("nobody reads the gateway's log")
-def step_unread(context):
+@when("nobody reads the gateway's standard output")
+def step_unread_output(context):
     world = context.platform
     gateway = world.gateways[0]
     gateway.close()
     gateway.start(stdout=subprocess.PIPE)
-    wait_until("ready", gateway.is_ready)
-    wait_until("serves", lambda: world.send().status == 200)
+    wait_until("the gateway is ready", gateway.is_ready)
+    wait_until("a request is served", lambda: world.send().status == 200)
 
 
-@then("{count:d} requests are served all the same")
-def step_served_unread(context, count):
+@then("{count:d} requests are still served")
+def step_count_served(context, count):
     for _ in range(count):
         assert context.platform.send().status == 200
 
 
-@when("the store goes down")
+@when("the log service stops answering")
 def step_store_down(context):
     context.platform.set_store_faults(down=True)
     time.sleep(0.5)
 
 
-@then("requests are served all the same")
+@then("requests are still served")
 def step_served(context):
-    step_served_unread(context, 5)
+    step_count_served(context, 5)
 
 
 @then("a gateway that starts now is not ready and refuses with 503")
@@ -474,11 +480,11 @@
     world = context.platform
     world.add_gateway(wait=False)
 
-    def answers():
+    def try_send():
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             return world.send(gateway=1)
 
-    answer = wait_until("it answers", answers)
+    answer = wait_until("the gateway responds", try_send)
     assert answer.status == 503, answer.status
     assert not world.gateways[1].is_ready()
 
@@ -499,13 +505,13 @@
     )
 
 
-@then('it ends with code {code:d} and says "{text}"')
-def step_bad_setting_said(context, code, text):
+@then('it exits with code {code:d} and reports "{text}"')
+def step_bad_setting_reported(context, code, text):
     assert context.ended.returncode == code, context.ended
     assert text in context.ended.stderr, context.ended.stderr
 
 
-@then("the metrics name the requests by outcome")
+@then("the metrics count the requests by outcome")
 def step_metrics(context):
     port = context.platform.gateways[0].ports["metrics"]
     text = urllib3.request("GET", f"http://127.0.0.1:{port}/metrics").data.decode()
@@ -513,15 +519,15 @@
     assert "kumquatseam_configuration_version" in text
 
 
-@then("the log tells what became of the request")
-def step_log_story(context):
-    def story():
+@then("the log records how the request was placed and answered")
+def step_log_events(context):
+    def logged_events():
         lines = context.platform.gateways[0].lines()
         events = [d["event"] for d in lines if d.get("request") == "told"]
         return events if "Answered." in events else None
 
     context.platform.send(request_id="told")
-    events = wait_until("its lines", story)
+    events = wait_until("the request's log lines", logged_events)
     assert events == ["Placed.", "Answered."], json.dumps(events)
 
 
@@ -533,10 +539,10 @@
     world = context.platform
     world.quota = {"ratePerS": rate, "burst": burst}
     world.put_configuration()
-    wait_until("the quota is in force", lambda: _is_in_force(world))
+    wait_until("the quota is in effect", lambda: _is_in_effect(world))
 
 
-def _is_in_force(world):
+def _is_in_effect(world):
     return any(
         line["event"] == "Configuration in force." and line["version"] == world.version
         for line in world.gateways[0].lines()
@@ -556,8 +562,8 @@
     assert statuses.count(429) >= refused, statuses
 
 
-@then("each refused one is told when to come back within {within_s:g} seconds")
-def step_told_when(context, within_s):
+@then("each refusal has a Retry-After header of at most {within_s:g} seconds")
+def step_refusals_retry_after(context, within_s):
     for answer in context.answers:
         if answer.status == 429:
             assert 0 < float(answer.headers["Retry-After"]) <= within_s
@@ -569,7 +575,7 @@
     assert context.platform.runs() == answered
 
 
-@then("the metrics count the refusals of quotas")
+@then("the metrics count the quota refusals")
 def step_quota_metrics(context):
     port = context.platform.gateways[0].ports["metrics"]
     text = urllib3.request("GET", f"http://127.0.0.1:{port}/metrics").data.decode()
@@ -580,10 +586,10 @@
     assert float(line.split()[-1]) == refused, line
 
 
-# A store that returns from an older copy.
+# The log service restored from an older copy.
 
 
-@given("the store is copied")
+@given("the log service is copied")
 def step_copied(context):
     context.platform.change_store("copy")
 
@@ -593,11 +599,11 @@
     world = context.platform
     for _ in range(count):
         world.put_configuration()
-        wait_until("it is in force", lambda: _is_in_force(world))
+        wait_until("the configuration is in effect", lambda: _is_in_effect(world))
 
 
-@when("the store returns from the copy")
-def step_returns(context):
+@when("the log service is restored from the copy")
+def step_restored(context):
     context.platform.change_store("return")
     context.answer_meanwhile = context.platform.send()
 
@@ -607,13 +613,13 @@
     context.platform.put_configuration()
 
 
-@then("it is in force within {within_s:g} seconds")
+@then("it is in effect within {within_s:g} seconds")
 def step_in_force_within(context, within_s):
     world = context.platform
-    wait_until("it is in force", lambda: _is_in_force(world), within_s)
+    wait_until("the configuration is in effect", lambda: _is_in_effect(world), within_s)
 
 
-@then("a caller's request is answered meanwhile and afterwards")
+@then("requests are answered after the restore and after the new configuration")
 def step_answered_both(context):
     assert context.answer_meanwhile.status == 200
     assert context.platform.send().status == 200
--- a/features/steps/platform_world.py
+++ b/features/steps/platform_world.py
@@ -1,4 +1,4 @@
-"""A gateway on stand-ins of the users' platform, each on a loopback port."""
+"""Gateway processes and stand-ins of the platform, each on a loopback port."""
 
 import json
 import os
@@ -40,18 +40,22 @@
 
 
 def wait_until(what, check, timeout_s=WAIT_S):
-    """Wait until ``check`` returns something true, and return it."""
+    """Wait until ``check`` returns a true value, and return that.
+
+    :param what: the condition, for the error message.
+    :raises AssertionError: when it does not hold within the time-out.
+    """
     deadline_s = time.monotonic() + timeout_s
     while time.monotonic() < deadline_s:
         found = check()
         if found:
             return found
         time.sleep(0.02)
-    raise AssertionError(f"not within {timeout_s} s: {what}")
+    raise AssertionError(f"condition not met within {timeout_s} s: {what}")
 
 
 class GatewayProcess:
-    """One gateway daemon as a process of its own."""
+    """A gateway running as a separate process."""
 
     def __init__(self, folder: Path, name: str, log_port: int, slack=50, seeds=""):
         self.name = name
@@ -90,7 +94,7 @@
             self.process.wait()
 
     def lines(self) -> list[dict]:
-        """Return its log lines."""
+        """Return the parsed JSON lines of its log."""
         found = []
         for line in self.log_path.read_text().splitlines():
             if line.startswith("{"):
@@ -99,7 +103,7 @@
 
 
 class PlatformWorld:
-    """The store, replicas, and gateways of one scenario."""
+    """The log service, replicas and gateways of one scenario."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -111,18 +115,18 @@
         self.gateways: list[GatewayProcess] = []
         self.routes: list[dict] = []
         self.keys = [KEY]
-        #: fields of the team's quota.
+        #: quota fields of the team's entry in the configuration.
         self.quota: dict = {}
         self.version = 0
-        #: called first when the scenario ends.
+        #: callbacks run before anything else is closed.
         self.on_close = []
 
     def start(self):
         self.store_program.start()
 
     def close(self):
-        for end in self.on_close:
-            end()
+        for callback in self.on_close:
+            callback()
         for gateway in self.gateways:
             gateway.close()
         for replica in self.replicas.values():
@@ -130,7 +134,7 @@
         self.store.close()
         self.store_program.close()
 
-    # What operators and replicas write.
+    # Records that operators and replicas write to the log service.
 
     def add_replica(self, service, upstream_id, **options) -> StandinReplica:
         replica = StandinReplica(upstream_id, **options)
@@ -216,9 +220,9 @@
         url = f"http://127.0.0.1:{self.log_port}/standin/faults"
         HTTP.request("PUT", url, body=json.dumps(faults).encode())
 
-    def change_store(self, what):
-        """Have the store make a copy, or return from it."""
-        HTTP.request("PUT", f"http://127.0.0.1:{self.log_port}/standin/{what}")
+    def change_store(self, action):
+        """Post an action to the log service: ``copy``, or ``return`` to restore it."""
+        HTTP.request("PUT", f"http://127.0.0.1:{self.log_port}/standin/{action}")
 
     # Gateways and callers.
 
@@ -231,13 +235,17 @@
         if wait:
             try:
                 wait_until("the gateway is ready", gateway.is_ready)
-                wait_until("it knows them", lambda: self.knows_replicas(gateway))
+                wait_until(
+                    "the gateway lists all replicas",
+                    lambda: self.knows_replicas(gateway),
+                )
             except AssertionError as error:
                 tail = gateway.log_path.read_text()[-3000:]
-                raise AssertionError(f"{error}; its log ends:\n{tail}") from error
+                raise AssertionError(f"{error}; end of its log:\n{tail}") from error
         return gateway
 
     def knows_replicas(self, gateway) -> bool:
+        """Whether the gateway has logged every replica as listed."""
         listed = {
             d["upstream"].partition("@")[0]
             for d in gateway.lines()
@@ -246,7 +254,7 @@
         return set(self.replicas) <= listed
 
     def send(self, path="/plain/x", method="POST", gateway=0, key=KEY, **options):
-        """Send one request of a caller; returns urllib3's response."""
+        """Send a caller's request and return the urllib3 response."""
         headers = {
             "Host": "a.example",
             "X-Request-Id": options.pop("request_id", f"id-{time.monotonic_ns():x}"),
@@ -266,6 +274,7 @@
         )
 
     def stream_headers(self, part="5c1e07a2") -> dict:
+        """Return the headers of a model request whose prompt starts with ``part``."""
         return {
             "X-Model": "m0",
             "X-Token-Usage": "1460,80",
@@ -273,5 +282,5 @@
         }
 
     def runs(self) -> int:
-        """Return how often any replica ran a request."""
+        """Return how many requests the replicas ran in all."""
         return sum(s.ran for r in self.replicas.values() for s in r.seen)
--- a/features/steps/starts_steps.py
+++ b/features/steps/starts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what a start costs, in modelled time where time matters."""
+"""Steps for the cost of starting an instance, on a simulated clock."""
 
 import json
 import subprocess
@@ -43,21 +43,24 @@
     assert not set(unneeded) & set(context.modules)
 
 
-@then("each module of our own that was loaded is used by another one")
+@then("each loaded module of this project is used by another one")
 def step_only_used(context):
-    """A package that offers something the gateway never names loads it in vain."""
+    """Find modules that a package imports although the gateway uses none of it."""
     modules = OwnModules.find(context.modules)
     assert not modules.unused(), modules.unused()
 
 
-@then("their code takes at most {most:d} percent of an instance of {memory_mb:d} MB")
+@then(
+    "their code takes at most {most:d} percent of the memory of an instance of "
+    "{memory_mb:d} MB"
+)
 def step_code_size(context, most, memory_mb):
     size_bytes = OwnModules.find(context.modules).code_bytes()
     assert size_bytes <= memory_mb * 1_000_000 * most / 100, size_bytes
 
 
 class LateInstance(ModelledInstance):
-    """An instance that takes itself for the only one until it knows the others."""
+    """An instance that sees only itself until it has discovered the others."""
 
     def restart(self):
         super().restart()
@@ -79,7 +82,7 @@
 
 
 @given(
-    "{count:d} instances that start together and know each other after "
+    "{count:d} instances that start together and discover each other after "
     "{seconds:g} seconds"
 )
 def step_together(context, count, seconds):
@@ -96,21 +99,21 @@
     assert context.world.calls <= calls, context.world.calls
 
 
-@then("all readers are in the council")
-def step_readers_council(context):
+@then("all readers are coordinators")
+def step_readers_coordinators(context):
     readers = [i for i in context.world.readers() if i not in context.before]
     assert readers
     assert all(i._view().is_coordinator for i in readers)
 
 
-@then("each looks again within {most_s:g} seconds whether to read")
-def step_looks_soon(context, most_s):
+@then("each checks again within {most_s:g} seconds whether to read")
+def step_checks_soon(context, most_s):
     for instance in context.world.instances:
         assert instance.watch._next_check_in_s() <= most_s, instance.name
 
 
-@then("those outside the council look again when their copies grow old")
-def step_looks_late(context):
+@then("those that are no coordinators check again when their copies expire")
+def step_checks_at_expiry(context):
     others = [i for i in context.world.instances if not i._view().is_coordinator]
     assert others
     for instance in others:
@@ -118,10 +121,12 @@
         assert abs(instance.watch._next_check_in_s() - left_s) < 0.01, instance.name
 
 
-# The duty.
+# The lease.
 
 
 class CountedLog(InMemoryLogService):
+    """A log service that counts its calls."""
+
     def __init__(self, store):
         super().__init__(store, LogFaults())
         self.calls = 0
@@ -131,7 +136,7 @@
         super()._enter()
 
 
-def _build_duty(context):
+def _build_leases(context):
     context.clock = Clock()
     store = LogStore(LogStoreLimits(), context.clock)
     context.logs = {name: CountedLog(store) for name in ("holder", "contender")}
@@ -144,19 +149,19 @@
             3.0,
             lambda rank=rank: rank,
             context.clock,
-            lambda fence, name=name: _tell(context, name, fence),
+            lambda fence, name=name: _broadcast_renewal(context, name, fence),
         )
 
 
-def _tell(context, teller, fence):
+def _broadcast_renewal(context, sender, fence):
     for name, lease in context.leases.items():
-        if name != teller:
+        if name != sender:
             lease.note_other_holder(fence)
 
 
-@given("a holder of a duty that tells of its renewals, and a contender")
-def step_duty(context):
-    _build_duty(context)
+@given("a lease holder that broadcasts its renewals, and a contender")
+def step_lease(context):
+    _build_leases(context)
     context.leases["holder"].step()
     assert context.leases["holder"].fence is not None
 
@@ -175,25 +180,26 @@
     assert context.logs["contender"].calls <= 1, context.logs["contender"].calls
 
 
-@when("the holder falls silent")
-def step_silent(context):
-    context.silent_s = context.clock()
+@when("the holder stops")
+def step_holder_stops(context):
+    context.stopped_s = context.clock()
 
 
 @then(
-    "the contender holds the duty within {most_s:d} seconds, and not before {least_s:d}"
+    "the contender holds the lease within {most_s:d} seconds, and not before "
+    "{least_s:d}"
 )
 def step_takes_over(context, most_s, least_s):
     contender = context.leases["contender"]
     while contender.fence is None:
         context.clock.now_s += 0.1
-        assert context.clock() - context.silent_s <= most_s
+        assert context.clock() - context.stopped_s <= most_s
         contender.step()
     assert context.leases["holder"].fence is None
-    assert context.clock() - context.silent_s >= least_s - 1.3
+    assert context.clock() - context.stopped_s >= least_s - 1.3
 
 
-@given("an instance that may not hold a duty")
+@given("an instance that may not hold a lease")
 def step_no_contender(context):
     context.clock = Clock()
     context.log = CountedLog(LogStore(LogStoreLimits(), context.clock))
