--- a/features/steps/weights_begun_late_steps.py
+++ b/features/steps/weights_begun_late_steps.py
@@ -48,8 +48,8 @@
         return SimpleNamespace(is_leader=False)
 
 
-class NoQuestions:
-    """A question registry that receives no questions."""
+class NoQueries:
+    """A query registry that receives no queries."""
 
     def on_query(self, kind, answer):
         pass
@@ -135,7 +135,7 @@
     step_instance_without_targets(context)
     clock = context.clock
     context.feeds = TopicFeeds(
-        None, IsolatedBus(), None, NoQuestions(), clock=context.clock
+        None, IsolatedBus(), None, NoQueries(), clock=context.clock
     )
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
@@ -206,7 +206,7 @@
 def step_follows_now(context):
     context.targets = WeightsTargets()
     _name_weights(context, 1)
-    context.feeds = TopicFeeds(None, IsolatedBus(), None, NoQuestions())
+    context.feeds = TopicFeeds(None, IsolatedBus(), None, NoQueries())
     listener = OperatorListener(LiveRouteTable(), context.targets)
     context.watch = context.feeds.follow(TOPIC, listener, PACE)
     context.watch.copy.apply(KeyedBatch(0, 5, is_snapshot=True))
--- a/src/kumquatseam/gateway/_exchange.py
+++ b/src/kumquatseam/gateway/_exchange.py
@@ -7,10 +7,10 @@
 import gevent
 
 from kumquatseam.errors import OverloadedError
-from kumquatseam.gateway._begin_wait import FirstEventWait
 from kumquatseam.gateway._call import ResponseTraits, SendOptions
 from kumquatseam.gateway._caller import CallerConnection
 from kumquatseam.gateway._events import EventSplitter
+from kumquatseam.gateway._first_event_wait import FirstEventWait
 from kumquatseam.gateway._job import Job
 from kumquatseam.gateway._outcomes import (
     BufferedFailureError,
--- a/src/kumquatseam/gateway/_begin_wait.py
+++ b/src/kumquatseam/gateway/_first_event_wait.py
@@ -24,7 +24,7 @@
         remaining_grace_s: Callable[[], float],
     ) -> None:
         super().__init__(until_s, address, caller, on_caller)
-        self._begin_left_s = remaining_grace_s
+        self._remaining_grace_s = remaining_grace_s
         self._has_started = False
 
     def note_first_event(self) -> None:
@@ -33,7 +33,7 @@
 
     def __call__(self, upstream, wants_write: bool) -> bool:
         while not self._has_started:
-            left_s = self._begin_left_s()
+            left_s = self._remaining_grace_s()
             if left_s <= 0:
                 raise GraceExpiredError
             recheck_at_s = time.monotonic() + left_s
--- a/src/kumquatseam/gateway/wiring.py
+++ b/src/kumquatseam/gateway/wiring.py
@@ -130,12 +130,12 @@
             file.gateway.link_mbps,
         )
         self._bus = PeerBus(self._record, BUS_KINDS)
-        self._questions = PeerQueries(self._bus, QUERY_KINDS, file.peers.seeds)
+        self._queries = PeerQueries(self._bus, QUERY_KINDS, file.peers.seeds)
         self._feeds = TopicFeeds(
             self._log_service,
             self._bus,
             self._record,
-            self._questions,
+            self._queries,
             self._are_peers_known,
         )
         self._datagrams = DatagramSocket(file.peers.address, DATAGRAM_KINDS)
@@ -166,13 +166,13 @@
             self._bus,
             self._datagrams,
             registry,
-            self._questions,
+            self._queries,
             self._feeds,
             self._quarantine,
             self._cache_feeds,
             WarmStart(
                 self._cache_feeds,
-                self._questions,
+                self._queries,
                 self._bus.name,
                 self._is_full_mesh_fleet,
             ),
--- a/src/kumquatseam/quarantine/_messages.py
+++ b/src/kumquatseam/quarantine/_messages.py
@@ -53,9 +53,9 @@
 class TrialAnswer:
     """Answer to a :class:`TrialQuestion`.
 
-    :param number: id of the question.
+    :param number: id of the :class:`TrialQuestion`.
     :param is_granted: whether the trial may start.
-    :param wait_ms: time to wait before asking again, if not granted.
+    :param wait_ms: time to wait before the next attempt, if not granted.
     """
 
     number: int
--- a/src/kumquatseam/rollouts/_plan.py
+++ b/src/kumquatseam/rollouts/_plan.py
@@ -82,7 +82,7 @@
 class RolloutBounds:
     """Time limits of a rollout, counted from when operators named the weights.
 
-    :param begin_s: how long requests may still begin on the replaced weights.
+    :param begin_s: how long requests may still start on the replaced weights.
     :param complete_s: how long until every engine has to run the new ones.
     """
 
@@ -134,7 +134,7 @@
         ready_to_load = orderable[:1]
     now = ready_to_load[: max(0, limit - loading)]
     if backoff_limit is None:
-        # No request may begin on these, so the limit would keep no engine in service.
+        # No request may start on these, so the limit would keep no engine in service.
         now += [
             e for e in orderable if _is_past_begin_bound(e, bounds) and e not in now
         ]
@@ -179,7 +179,7 @@
 
 
 def _is_past_begin_bound(engine: EngineState, bounds: RolloutBounds) -> bool:
-    """Return whether requests may no longer begin on an engine's weights."""
+    """Return whether requests may no longer start on an engine's weights."""
     return bounds.begin_s < engine.replaced_s < math.inf
 
 
--- a/src/kumquatseam/trackers/_client.py
+++ b/src/kumquatseam/trackers/_client.py
@@ -70,7 +70,7 @@
         self._clock = clock
         self._wait = wait
         self._round_trip = RoundTripEstimate()
-        self._silences = UnresponsivePeers(clock)
+        self._unresponsive = UnresponsivePeers(clock)
         self._pending: dict[int, _PendingQuery] = {}
         self._last_number = random.getrandbits(48)
         self.query_count = 0
@@ -81,12 +81,12 @@
             link.on_message(kind, lambda message, _: tracker.apply(message))
 
     def tracker_of(self, holder: str) -> InstanceRecord | None:
-        """Return the tracker of ``holder``, skipping instances that are silent.
+        """Return the tracker of ``holder``, skipping unresponsive instances.
 
-        :returns: ``None`` if all candidates are silent.
+        :returns: ``None`` if all candidates are unresponsive.
         """
         for record in self._order.owners_of(holder):
-            if not self._silences.is_skipped(record.name):
+            if not self._unresponsive.is_skipped(record.name):
                 return record
         return None
 
@@ -160,7 +160,7 @@
         self._link.send(sender, self._tracker.answer(query))
 
     def _handle_reply(self, reply: LoadReply, _: str) -> None:
-        self._silences.note_reply(reply.sender)
+        self._unresponsive.note_reply(reply.sender)
         pending = self._pending.pop(reply.number, None)
         if pending is None:
             return
@@ -172,7 +172,7 @@
 
     def _note_silent(self, record: InstanceRecord) -> None:
         self.timeout_count += 1
-        pause_s = self._silences.note_timeout(record.name)
+        pause_s = self._unresponsive.note_timeout(record.name)
         _log.bind(
             peer=record.name,
             for_s=pause_s,
