--- a/features/cache_feeds.feature
+++ b/features/cache_feeds.feature
@@ -115,7 +115,7 @@
     And the estimated transfer time from the store uses the slower link
 
   Scenario: A gateway that restarts places by its engines' cache contents
-    Given a gateway before 2 engines that stream 2 events
+    Given a gateway in front of 2 engines that stream 2 events
     When a caller sends "POST" to "/once/x"
     And the gateway restarts
     And a caller sends "POST" to "/once/x"
--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -56,7 +56,7 @@
     And other prompts are answered
 
   Scenario: Routers keep plain services from a call that crashes them
-    Given a fleet of 2 routers before a plain service of 4 replicas that a call crashes, which start again
+    Given a fleet of 2 routers in front of a plain service of 4 replicas that a call crashes, which start again
     When routers are sent that call 16 times, each in turn
     Then at most 6 of them crashed
     And the last 4 callers were told at once that it was not run
--- a/features/feeds.feature
+++ b/features/feeds.feature
@@ -99,7 +99,7 @@
     Then all instances have the newest value
 
   Scenario: Changes that a reader received from another reader reach all instances
-    Given a copy that took a change from another reader's update
+    Given a copy that applied a change from another reader's update
     When its own next read starts before that change
     Then copies that contain the change can apply its update
     And copies without the change cannot apply it
@@ -126,8 +126,8 @@
     When its entry is removed long after the outage
     Then the upstream is removed
 
-  Scenario: A gateway that cannot reach the store uses the copies of its peers
-    Given two gateways in front of 1 plain replica, the second without the store
+  Scenario: A gateway that cannot reach the log service uses the copies of its peers
+    Given two gateways in front of 1 plain replica, the second cut off from the log service
     Then the second gateway serves requests as well
     When the operators move the route to another service
     Then within 3 seconds the second gateway sends requests to the other service only
--- a/features/moves.feature
+++ b/features/moves.feature
@@ -13,21 +13,21 @@
     Given a stream that is moved to an engine reached at attempt 3
     When the caller's request is served
     Then only the source and the destination engine were tried
-    And the caller's stream is whole, with 4 events
+    And the caller's stream is complete, with 4 events
     And it was resumed from the copied KV cache, after event 2
 
   Scenario: A resumable stream is resumed on another engine after its last event
     Given a resumable stream that is moved to an engine that cannot be reached
     When the caller's request is served
     Then another engine was asked to resume after event 2
-    And the caller's stream is whole, with 4 events
+    And the caller's stream is complete, with 4 events
 
   Scenario: A resumable stream waits while all engines are loading weights
     Given a resumable stream that is moved to an engine that cannot be reached
     And no other engine accepts it at the next placements
     When the caller's request is served
     Then another engine was asked to resume after event 2
-    And the caller's stream is whole, with 4 events
+    And the caller's stream is complete, with 4 events
 
   Scenario: A run is not moved if its engine's weights changed meanwhile
     Given a stream on a drained engine that already runs other weights
--- a/features/own_faults.feature
+++ b/features/own_faults.feature
@@ -20,8 +20,8 @@
     Then it gets an open connection
 
   Scenario: Another upstream responds at a listed address
-    Given a gateway before 2 plain replicas
-    When the address of replica p0 goes to another life
+    Given a gateway in front of 2 plain replicas
+    When another incarnation takes over the address of replica p0
     And 20 requests are sent
     Then all are served, and at most 2 of them were sent to that address
 
--- a/features/platform_decisions.feature
+++ b/features/platform_decisions.feature
@@ -4,15 +4,15 @@
   Scenario: A rollout reserves engines for the runs moved off the engines that load
     Given 9 engines of 48 slots with 13 runs each on weights 1
     When weights 2 are named
-    Then 3 engines load, and their runs go to 3 engines that load last
-    And no engine is closed to new work yet
+    Then 3 engines load, and their runs move to 3 engines that load last
+    And no engine is closed to new requests yet
 
   Scenario: New requests go to the engines that already run the newest weights
     Given 9 engines of 48 slots with 13 runs each on weights 1
     And 3 of them already run weights 2
     When weights 2 are named
-    Then 3 engines load, and their runs go to 2 engines that load last
-    And the 3 engines that do not load yet are closed to new work
+    Then 3 engines load, and their runs move to 2 engines that load last
+    And the 3 engines that do not load yet are closed to new requests
 
   Scenario: The last engines load once they are idle
     Given 3 engines of 48 slots with 30 runs each on weights 1
@@ -29,7 +29,7 @@
     Then the engines that load all ran weights 2
 
   Scenario: A rollout loads at most 0.4 of the engines at once in a fleet of any size
-    Then of any number of engines up to 80 at most 0.4 load at once, and all get there
+    Then with up to 80 engines, at most 0.4 of them load at once, and in the end all have
 
   Scenario: A prompt goes to the engine that holds its parts until the wait there is longer
     Given an engine that holds 6300 of a prompt's 9190 tokens and one that holds none
@@ -82,7 +82,7 @@
     Given 8 engines of 48 slots with 13 runs each on weights 1
     And 2 of them cannot be reached
     When weights 2 are named
-    Then 3 engines load, and their runs go to 2 engines that load last
+    Then 3 engines load, and their runs move to 2 engines that load last
     And none of the engines that cannot be reached is among them
 
   Scenario: A rollout continues when no engine has room for another's runs
@@ -103,7 +103,7 @@
     Given 3 engines of 48 slots with 45 runs each on weights 1
     And 6 more engines run weights 2
     When weights 2 were named 4.5 seconds ago, and all have to run them within 11
-    Then 3 engines load, 3 of them at once
+    Then 3 engines load, 3 of them while they serve runs
     When weights 2 were named 1 seconds ago, and all have to run them within 11
     Then no engine loads
 
@@ -111,12 +111,12 @@
     Given 3 engines of 48 slots with 30 runs each on weights 1
     And 6 more engines run weights 2
     When weights 2 were named 4.5 seconds ago, and all have to run them within 11
-    Then 3 engines load, 0 of them at once
+    Then 3 engines load, 0 of them while they serve runs
 
   Scenario: Runs that continue while their engine loads weights are not moved
-    Given a process told that e0 loads weights of m0, and that e1 takes its runs
+    Given a process notified that e0 loads weights of m0 and that its runs move to e1
     Then runs of e0 move to e1
-    When it is told that e0 loads weights of m0 under its runs
+    When it is notified that e0 loads weights of m0 while its runs continue
     Then runs of e0 stay where they are
 
   Scenario: A request that would spend most of its time waiting is refused at once
@@ -172,11 +172,11 @@
     Then the second finds each opening held by the engine that the first sent it to
 
   Scenario: A notice about one model does not reopen the engines of another
-    Given a process told that e0 loads weights of m0
-    When it is told that nothing loads weights of m1
-    Then e0 takes no work
-    When it is told that nothing loads weights of m0
-    Then e0 takes work again
+    Given a process notified that e0 loads weights of m0
+    When it is notified that no engine loads weights of m1
+    Then e0 receives no requests
+    When it is notified that no engine loads weights of m0
+    Then e0 receives requests again
 
   Scenario: A process that knows only the newest weights learns from a peer which ones they replaced
     Given engines on weights 1, 3 and 4 and a process that has just read weights 4
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -58,7 +58,7 @@
     Then another instance knows that the engine accepted 1 order
 
   Scenario: A crashed engine that restarts under its id is used and ordered again
-    Given a gateway before 2 engines that stream 6 events
+    Given a gateway in front of 2 engines that stream 6 events
     When engine e0 restarts under its id
     And the operators name weights 2
     Then every engine soon runs version 2, ordered under a fencing token
@@ -67,7 +67,7 @@
     Then the caller's answer has status 200
 
   Scenario: A run whose copy is lost with an engine still continues
-    Given a gateway before 4 engines that stream 30 events slowly
+    Given a gateway in front of 4 engines that stream 30 events slowly
     When 8 callers stream from "/resume/x" and new weights are named meanwhile, and each engine that receives a moved run restarts
-    Then every stream is whole, with every event once, in order
+    Then every stream is complete, with every event once and in order
 
--- a/features/serving.feature
+++ b/features/serving.feature
@@ -36,7 +36,7 @@
     Then the engine has seen 1 requests
 
   Scenario: A service call that is not repeatable is sent only once
-    Given a fleet of 1 router before a plain service of 2 replicas
+    Given a fleet of 1 router in front of a plain service of 2 replicas
     When the service loses the response to a POST
     Then the caller gets an error that says the call may have run
     And the service ran 1 POST call
--- a/features/starts.feature
+++ b/features/starts.feature
@@ -46,7 +46,7 @@
 
   Scenario: An instance that may not hold the lease does not call the log
     Given an instance that may not hold a lease
-    When it steps for 20 seconds
+    When its lease loop runs for 20 seconds
     Then it called the log 0 times
 
   Scenario Outline: A boolean key in the settings
@@ -54,7 +54,7 @@
     Then they are <outcome>
 
     Examples:
-      | text  | outcome                            |
-      | true  | read, and it is the first start    |
-      | false | read, and it is no first start     |
-      | maybe | refused, naming the section and key |
+      | text  | outcome                                 |
+      | true  | accepted, and it is the first start     |
+      | false | accepted, and it is not the first start |
+      | maybe | rejected, naming the section and key    |
--- a/features/steps/feeds_steps.py
+++ b/features/steps/feeds_steps.py
@@ -305,7 +305,7 @@
     return copy
 
 
-@given("a copy that took a change from another reader's update")
+@given("a copy that applied a change from another reader's update")
 def step_copy(context):
     context.copy = _copy(5)
     context.copy.apply(KeyedBatch(5, 6, (_change(5),)))
@@ -417,7 +417,9 @@
 # Processes.
 
 
-@given("two gateways in front of 1 plain replica, the second without the store")
+@given(
+    "two gateways in front of 1 plain replica, the second cut off from the log service"
+)
 def step_two_gateways(context):
     step_plain_gateway(context, 1)
     world = context.platform
--- a/features/steps/fleet_rollout_steps.py
+++ b/features/steps/fleet_rollout_steps.py
@@ -79,7 +79,7 @@
                 self.versions[name] = "2"
 
 
-@given("{count:d} engines that are to load, {never:d} of which accept and never do")
+@given("{count:d} engines to load, {never:d} of which accept the order and never load")
 def step_engines(context, count, never):
     context.clock = Clock()
     live = LiveStub(count)
@@ -90,7 +90,7 @@
     )
 
 
-@when("the router that holds the duty goes on for {for_s:g} s")
+@when("the router that holds the rollout lease runs for {for_s:g} s")
 def step_go_on(context, for_s):
     end_s = context.clock() + for_s
     while context.clock() < end_s:
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -29,21 +29,24 @@
     return context.fleet
 
 
-@given("a router before {count:d} stand-in engine that decodes a token every {ms:d} ms")
+@given(
+    "a router in front of {count:d} stand-in engine that decodes a token every "
+    "{ms:d} ms"
+)
 def step_slow_fleet(context, count, ms):
     start_fleet(
         context, FleetPlan(engines=count, engine_options={"decode_ms_per_token": ms})
     )
 
 
-@given("a router before {count:d} stand-in engine that crosses its answers")
+@given("a router in front of {count:d} stand-in engine that mixes up its responses")
 def step_crossing_fleet(context, count):
     options = {"crossed_answers": True}
     start_fleet(context, FleetPlan(engines=count, engine_options=options))
 
 
-@given("a router before {count:d} stand-in engines")
-@given("a router before {count:d} stand-in engine")
+@given("a router in front of {count:d} stand-in engines")
+@given("a router in front of {count:d} stand-in engine")
 def step_fleet(context, count):
     start_fleet(context, FleetPlan(engines=count))
 
@@ -161,9 +164,7 @@
     return json.loads(HTTP.request("GET", url).data)
 
 
-@then(
-    "by the engine's accounting request {number:d} was served {tokens:d} cached tokens"
-)
+@then("the engine reports that request {number:d} used {tokens:d} cached tokens")
 def step_engine_cached(context, number, tokens):
     requests = engine_stats(context)["recent_requests"]
     assert requests[number - 1]["cached_tokens"] == tokens, requests
@@ -223,7 +224,7 @@
     context.fleet.engines[index].program.pause()
 
 
-@when("the router has not heard from engine {index:d} for {seconds:f} seconds")
+@when("the router has received nothing from engine {index:d} for {seconds:f} seconds")
 def step_wait_silence(context, index, seconds):
     time.sleep(seconds)
 
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -218,7 +218,7 @@
     assert not context.answer.endswith(b"0\r\n\r\n"), context.answer
 
 
-@then("the caller's stream is whole, with {count:d} events")
+@then("the caller's stream is complete, with {count:d} events")
 def step_whole(context, count):
     assert context.answer.count(b"data:") == count, context.answer
     assert context.answer.endswith(b"0\r\n\r\n"), context.answer
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -25,8 +25,8 @@
     context.platform.start()
 
 
-@given("a gateway before {count:d} plain replicas")
-@given("a gateway before {count:d} plain replica")
+@given("a gateway in front of {count:d} plain replicas")
+@given("a gateway in front of {count:d} plain replica")
 def step_plain_gateway(context, count):
     step_platform(context)
     world = context.platform
@@ -38,7 +38,7 @@
     world.add_gateway()
 
 
-@given("a gateway before {count:d} engines that stream {events:d} events")
+@given("a gateway in front of {count:d} engines that stream {events:d} events")
 def step_engine_gateway(context, count, events, pause_s=0.01):
     step_platform(context)
     world = context.platform
@@ -53,7 +53,7 @@
     world.add_gateway()
 
 
-@given("a gateway before {count:d} engines that stream {events:d} events slowly")
+@given("a gateway in front of {count:d} engines that stream {events:d} events slowly")
 def step_slow_engine_gateway(context, count, events):
     step_engine_gateway(context, count, events, pause_s=0.08)
 
@@ -223,7 +223,7 @@
         thread.join()
 
 
-@then("every stream is whole, with every event once, in order")
+@then("every stream is complete, with every event once and in order")
 def step_all_whole(context):
     count = next(iter(context.platform.replicas.values())).events
     whole = (200, "".join(EVENTS[:count]))
@@ -417,7 +417,7 @@
     assert len(world.replicas[upstream_id].seen) == before
 
 
-@when("the address of replica {upstream_id} goes to another life")
+@when("another incarnation takes over the address of replica {upstream_id}")
 def step_other_incarnation(context, upstream_id):
     context.platform.replicas[upstream_id].upstream_id = "reborn"
 
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -56,10 +56,10 @@
     context.engines = context.engines + [(version, 10, 48)] * count
 
 
-@then("{count:d} engines load, {at_once:d} of them at once")
-def step_load_at_once(context, count, at_once):
+@then("{count:d} engines load, {in_place:d} of them while they serve runs")
+def step_load_in_place(context, count, in_place):
     assert len(context.plan.order_now) == count, context.plan
-    assert len(context.plan.in_place) == at_once, context.plan
+    assert len(context.plan.in_place) == in_place, context.plan
     assert set(context.plan.in_place) <= set(context.plan.order_now), context.plan
 
 
@@ -110,7 +110,7 @@
     context.plan = plan_loads(context.states, RolloutBounds(complete_s=complete_s))
 
 
-@then("{count:d} engines load, and their runs go to {kept:d} engines that load last")
+@then("{count:d} engines load, and their runs move to {kept:d} engines that load last")
 def step_waves(context, count, kept):
     plan = context.plan
     assert len(plan.order_now) == count, plan
@@ -128,12 +128,12 @@
     assert not context.plan.order_now, context.plan
 
 
-@then("no engine is closed to new work yet")
+@then("no engine is closed to new requests yet")
 def step_none_closed(context):
     assert not context.plan.closing, context.plan
 
 
-@then("the {count:d} engines that do not load yet are closed to new work")
+@then("the {count:d} engines that do not load yet are closed to new requests")
 def step_last_closed(context, count):
     plan = context.plan
     assert len(plan.closing) == count, plan
@@ -148,7 +148,9 @@
     assert {versions[i] for i in context.plan.order_now} == {version}, context.plan
 
 
-@then("of any number of engines up to 80 at most 0.4 load at once, and all get there")
+@then(
+    "with up to 80 engines, at most 0.4 of them load at once, and in the end all have"
+)
 def step_any_size(context):
     for count in range(1, 81):
         states = {f"e{i:02}": engine_state(i, 1, 5) for i in range(count)}
@@ -183,7 +185,7 @@
     assert context.view.apply_notice(notice)
 
 
-@given("a process told that e0 loads weights of m0")
+@given("a process notified that e0 loads weights of m0")
 def step_notice(context):
     context.clock = Clock()
     context.directory = UpstreamDirectory(context.clock)
@@ -193,28 +195,28 @@
     _apply_notice(context, "m0", ("e0",))
 
 
-@when("it is told that nothing loads weights of {model}")
+@when("it is notified that no engine loads weights of {model}")
 def step_notice_nothing_loads(context, model):
     _apply_notice(context, model, ())
 
 
-@then("e0 takes no work")
+@then("e0 receives no requests")
 def step_blocked(context):
     assert context.directory.status("e0").blocked_until_s > context.clock.now_s
 
 
-@then("e0 takes work again")
+@then("e0 receives requests again")
 def step_unblocked(context):
     assert context.directory.status("e0").blocked_until_s <= context.clock.now_s
 
 
-@given("a process told that e0 loads weights of m0, and that e1 takes its runs")
+@given("a process notified that e0 loads weights of m0 and that its runs move to e1")
 def step_notice_destination(context):
     step_notice(context)
     _apply_notice(context, "m0", ("e0",), ("e1",))
 
 
-@when("it is told that e0 loads weights of m0 under its runs")
+@when("it is notified that e0 loads weights of m0 while its runs continue")
 def step_notice_in_place(context):
     _apply_notice(context, "m0", ("e0",), ("e1",), ("e0",))
 
--- a/features/steps/router_crash_steps.py
+++ b/features/steps/router_crash_steps.py
@@ -118,8 +118,8 @@
 
 
 @given(
-    "a fleet of {routers:d} routers before a plain service of {count:d} replicas that "
-    "a call crashes, which start again"
+    "a fleet of {routers:d} routers in front of a plain service of {count:d} "
+    "replicas that a call crashes, which start again"
 )
 def step_services(context, routers, count):
     step_controlled_fleet(context, routers, 1, services=count)
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -32,7 +32,7 @@
     HTTP.request("PUT", f"{engine.url}/standin/faults", body=b'{"hang": true}')
 
 
-@given("a fleet of 1 router before a plain service of {count:d} replicas")
+@given("a fleet of 1 router in front of a plain service of {count:d} replicas")
 def step_service_fleet(context, count):
     step_controlled_fleet(context, 1, 1, services=count)
 
--- a/features/steps/starts_steps.py
+++ b/features/steps/starts_steps.py
@@ -206,7 +206,7 @@
     context.lease = DutyLease(context.log, "d", "me", 3.0, lambda: None, context.clock)
 
 
-@when("it steps for {seconds:d} seconds")
+@when("its lease loop runs for {seconds:d} seconds")
 def step_steps(context, seconds):
     for _ in range(seconds * 10):
         context.clock.now_s += 0.1
@@ -236,17 +236,17 @@
             context.settings, context.fault = None, error
 
 
-@then("they are read, and it is the first start")
+@then("they are accepted, and it is the first start")
 def step_first_start(context):
     assert context.settings.peers.is_first_start is True
 
 
-@then("they are read, and it is no first start")
+@then("they are accepted, and it is not the first start")
 def step_no_first_start(context):
     assert context.settings.peers.is_first_start is False
 
 
-@then("they are refused, naming the section and key")
+@then("they are rejected, naming the section and key")
 def step_refused_settings(context):
     text = str(context.fault)
     assert "peers" in text and "is_first_start" in text, text
--- a/features/thin_path.feature
+++ b/features/thin_path.feature
@@ -4,39 +4,39 @@
   invalid settings.
 
   Scenario: A streamed response arrives complete and in order
-    Given a router before 1 stand-in engine
+    Given a router in front of 1 stand-in engine
     When team "alpha" streams a 64-token prompt asking for 12 tokens
     Then the stream carries 12 tokens and ends with [DONE]
     And the streamed text equals the whole answer to the same prompt
     And the router logged a route line for every request
 
   Scenario: Two teams with the same prompt never share cached blocks
-    Given a router before 1 stand-in engine
+    Given a router in front of 1 stand-in engine
     When team "alpha" sends a 64-token prompt
     And team "beta" sends the same prompt
     And team "alpha" sends the same prompt
-    Then by the engine's accounting request 2 was served 0 cached tokens
-    And by the engine's accounting request 3 was served 64 cached tokens
+    Then the engine reports that request 2 used 0 cached tokens
+    And the engine reports that request 3 used 64 cached tokens
 
   Scenario: The index of an engine is cleared when the engine restarts
-    Given a router before 1 stand-in engine
+    Given a router in front of 1 stand-in engine
     When team "alpha" sends a 64-token prompt
     Then the router soon indexes 4 blocks of the engine
     When the engine crashes and comes back empty
     Then the router soon sees the engine's new epoch and indexes 0 blocks of it
     When team "alpha" sends the same prompt
     Then the router logged matched_blocks=0/4 for the last request
-    And by the engine's accounting request 1 was served 0 cached tokens
+    And the engine reports that request 1 used 0 cached tokens
 
   Scenario: A restarted router serves requests at once
-    Given a router before 1 stand-in engine
+    Given a router in front of 1 stand-in engine
     When team "alpha" sends a 64-token prompt
     And the router is killed and started again
     And team "alpha" sends the same prompt
     Then the caller got status 200
 
   Scenario: A request with an unknown key gets 401 and is not sent to the engine
-    Given a router before 1 stand-in engine
+    Given a router in front of 1 stand-in engine
     When a caller with the key "no-such-key" sends a 64-token prompt
     Then the caller got status 401
     And the engine has seen 0 requests
@@ -55,15 +55,15 @@
       | daemon      | listen            | 127.0.0.1   |
 
   Scenario: New weights never reuse blocks cached under the old ones
-    Given a router before 1 stand-in engine
+    Given a router in front of 1 stand-in engine
     When team "alpha" sends a 64-token prompt
     And the router restarts with model version "v2"
     And team "alpha" sends the same prompt
-    Then by the engine's accounting request 2 was served 0 cached tokens
+    Then the engine reports that request 2 used 0 cached tokens
 
   Scenario: A frozen engine gets no new requests after its reports stop
-    Given a router before 2 stand-in engines
+    Given a router in front of 2 stand-in engines
     When engine 1 freezes
-    And the router has not heard from engine 1 for 3.5 seconds
+    And the router has received nothing from engine 1 for 3.5 seconds
     And team "alpha" sends 4 different prompts
     Then the router routed every request to engine-0
--- a/features/weights_left_behind.feature
+++ b/features/weights_left_behind.feature
@@ -124,6 +124,6 @@
     Then 6 engines run weights 2
 
   Scenario: Engines that accept an order and never load do not block the others
-    Given 9 engines that are to load, 3 of which accept and never do
-    When the router that holds the duty goes on for 11 s
+    Given 9 engines to load, 3 of which accept the order and never load
+    When the router that holds the rollout lease runs for 11 s
     Then the other 6 engines have loaded
