--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -56,10 +56,10 @@
     context.engines = context.engines + [(version, 10, 48)] * count
 
 
-@then("{count:d} engines load, {in_place:d} of them while they serve runs")
-def step_load_in_place(context, count, in_place):
+@then("{count:d} engines load, {in_use:d} of them while they serve runs")
+def step_load_in_place(context, count, in_use):
     assert len(context.plan.order_now) == count, context.plan
-    assert len(context.plan.in_place) == in_place, context.plan
+    assert len(context.plan.in_place) == in_use, context.plan
     assert set(context.plan.in_place) <= set(context.plan.order_now), context.plan
 
 
